--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -305,10 +305,10 @@
   auto caller = client();
   caller->send("POST /a?x=1 HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
   ASSERT_TRUE(until([&] { return caller->closed_by_peer; }));
-  ASSERT_EQ(caller->answers.size(), 1u);
-  EXPECT_EQ(caller->answers[0].result_int(), 200u);
-  EXPECT_EQ(caller->answers[0].body(), "yes\n");
-  EXPECT_FALSE(caller->answers[0].keep_alive());
+  ASSERT_EQ(caller->responses.size(), 1u);
+  EXPECT_EQ(caller->responses[0].result_int(), 200u);
+  EXPECT_EQ(caller->responses[0].body(), "yes\n");
+  EXPECT_FALSE(caller->responses[0].keep_alive());
   ASSERT_EQ(calls.size(), 1u);
   EXPECT_EQ(calls[0].method, "POST");
   EXPECT_EQ(calls[0].path, "/a");
@@ -322,8 +322,8 @@
     io.restart();
     io.poll();
   }
-  ASSERT_TRUE(until([&] { return !caller->answers.empty(); }));
-  EXPECT_EQ(caller->answers[0].result_int(), 200u);
+  ASSERT_TRUE(until([&] { return !caller->responses.empty(); }));
+  EXPECT_EQ(caller->responses[0].result_int(), 200u);
 }
 
 TEST_F(AdminServerTest, RepliesBadRequestToMalformedCall) {
@@ -333,8 +333,8 @@
         std::string("POST /a HTTP/1.1\r\nContent-Length: 99999\r\n\r\n")}) {
     auto caller = client();
     caller->send(bad);
-    ASSERT_TRUE(until([&] { return !caller->answers.empty(); }));
-    EXPECT_EQ(caller->answers[0].result_int(), 400u);
+    ASSERT_TRUE(until([&] { return !caller->responses.empty(); }));
+    EXPECT_EQ(caller->responses[0].result_int(), 400u);
   }
   EXPECT_TRUE(calls.empty());
 }
@@ -343,8 +343,8 @@
   start();
   auto caller = client();
   caller->send("PUT /no HTTP/1.1\r\n\r\n");
-  ASSERT_TRUE(until([&] { return !caller->answers.empty(); }));
-  EXPECT_EQ(caller->answers[0]["Allow"], "GET");
+  ASSERT_TRUE(until([&] { return !caller->responses.empty(); }));
+  EXPECT_EQ(caller->responses[0]["Allow"], "GET");
 }
 
 TEST_F(AdminServerTest, ClosesSilentConnectionsForNewOnes) {
@@ -359,7 +359,7 @@
   }
   auto caller = client();
   caller->send("GET /a HTTP/1.1\r\n\r\n");
-  ASSERT_TRUE(until([&] { return !caller->answers.empty(); }));
+  ASSERT_TRUE(until([&] { return !caller->responses.empty(); }));
   EXPECT_LE(server->connections(), 3u);
   EXPECT_TRUE(until([&] { return silent[0]->closed_by_peer && silent[3]->closed_by_peer; }));
 }
--- a/tests/discovery/discovery_paths_test.cpp
+++ b/tests/discovery/discovery_paths_test.cpp
@@ -63,7 +63,7 @@
         return c.close();
       }
       if (reaction == Reaction::refuses) {
-        return c.reply(answer_text(503, "Connection: close\r\n", ""), true);
+        return c.reply(response_text(503, "Connection: close\r\n", ""), true);
       }
       json hosts = json::array();
       if (full) {
@@ -72,7 +72,7 @@
       if (changed) {
         hosts.push_back(target("s-1", test.hosts[1]->endpoint));
       }
-      c.reply(answer_text(
+      c.reply(response_text(
           200, "", json{{"rev", changed ? 9 : 1}, {"all", full}, {"targets", hosts}}.dump()));
     }
     Script script;
@@ -87,7 +87,7 @@
     discovery.list = json::array();
     clock = std::make_shared<ManualClock>();
     waits.clock = clock;
-    add_host("a", always(answer_text(200, "", "0")));
+    add_host("a", always_reply(response_text(200, "", "0")));
     hosts.push_back(std::make_unique<Peer>(io, nullptr));  // unknown at first
     config = config_json();
     config["seed"] = seed;
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -13,8 +13,8 @@
 // --- Forwarding ---
 
 TEST_F(GatewayTest, ForwardsRequestAndResponseUnchanged) {
-  add_host("a",
-           always(answer_text(200, "X-Load: TEXT queue=2\r\nContent-Type: a/b\r\n", "plan \x01")));
+  add_host("a", always_reply(response_text(200, "X-Load: TEXT queue=2\r\nContent-Type: a/b\r\n",
+                                           "plan \x01")));
   start();
   auto c = client();
   c->send(
@@ -22,11 +22,11 @@
       "X-Deadline-Ms: 900\r\nIdempotency-Key: key-9\r\nConnection: keep-alive, X-Hop\r\nX-Hop: "
       "1\r\n"
       "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
-  ASSERT_TRUE(until([&] { return !c->answers.empty(); }));
-  EXPECT_EQ(c->answers[0].result_int(), 200u);
-  EXPECT_EQ(c->answers[0].body(), "plan \x01");
-  EXPECT_EQ(c->answers[0]["Content-Type"], "a/b");
-  EXPECT_EQ(c->answers[0].count("X-Load"), 0u);
+  ASSERT_TRUE(until([&] { return !c->responses.empty(); }));
+  EXPECT_EQ(c->responses[0].result_int(), 200u);
+  EXPECT_EQ(c->responses[0].body(), "plan \x01");
+  EXPECT_EQ(c->responses[0]["Content-Type"], "a/b");
+  EXPECT_EQ(c->responses[0].count("X-Load"), 0u);
   const Request& sent = hosts[0]->requests.at(0);
   EXPECT_EQ(sent.method(), beast_http::verb::post);
   EXPECT_EQ(sent.target(), "/put/7?q=1&r=%20");
@@ -37,21 +37,21 @@
 }
 
 TEST_F(GatewayTest, ForwardsDeadlineShorterThanClientDeadline) {
-  add_host("a", always(answer_text(200, "", "")));
+  add_host("a", always_reply(response_text(200, "", "")));
   start();
-  EXPECT_EQ(ask(text("read", "X-Deadline-Ms: 15000\r\n")).result_int(), 200u);
+  EXPECT_EQ(send_request(request_text("read", "X-Deadline-Ms: 15000\r\n")).result_int(), 200u);
   const long forwarded_ms = std::stol(hosts[0]->requests.at(0)["X-Deadline-Ms"].to_string());
   EXPECT_LE(forwarded_ms, 15000 - kResponseMargin.count());
   EXPECT_GT(forwarded_ms, 0);
 }
 
 TEST_F(GatewayTest, ReusesMostRecentConnection) {
-  add_host("a", always(answer_text(200, "", "x")));
+  add_host("a", always_reply(response_text(200, "", "x")));
   start();
   auto c = client();
   for (std::size_t i = 0; i < 5; ++i) {
-    c->send(text("write"));
-    ASSERT_TRUE(until([&] { return c->answers.size() == i + 1; }));
+    c->send(request_text("write"));
+    ASSERT_TRUE(until([&] { return c->responses.size() == i + 1; }));
   }
   EXPECT_EQ(hosts[0]->connections.size(), 1u);
 }
@@ -59,32 +59,32 @@
 TEST_F(GatewayTest, DoesNotUseIdleConnectionClosedByHost) {
   // An unsafe request written to it would end as a reset, which may have run: it would fail for
   // nothing.
-  add_host("a", always(answer_text(200, "", "x")));
+  add_host("a", always_reply(response_text(200, "", "x")));
   start();
-  EXPECT_EQ(ask(text("write")).result_int(), 200u);
+  EXPECT_EQ(send_request(request_text("write")).result_int(), 200u);
   hosts[0]->connections[0]->close();
-  EXPECT_EQ(ask(text("write")).result_int(), 200u);
+  EXPECT_EQ(send_request(request_text("write")).result_int(), 200u);
   EXPECT_EQ(hosts[0]->connections.size(), 2u);
 }
 
 TEST_F(GatewayTest, ClosesIdleConnectionBeforeHostIdleTimeout) {
   config["settings"]["ceilings"]["idleCloseNs"] = 100'000'000;
-  add_host("a", always(answer_text(200, "", "x")));
+  add_host("a", always_reply(response_text(200, "", "x")));
   start();
-  EXPECT_EQ(ask(text("read")).result_int(), 200u);
+  EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
   EXPECT_TRUE(until([&] { return hosts[0]->connections[0]->closed_by_peer; }));
 }
 
 TEST_F(GatewayTest, AnswersPipelinedRequestsInOrder) {
   add_host("a", [](PeerConnection& c, std::size_t n) {
-    c.reply(answer_text(200, "", std::to_string(n)));
+    c.reply(response_text(200, "", std::to_string(n)));
   });
   start();
   auto c = client();
-  c->send(text("read") + text("read") + text("read"));
-  ASSERT_TRUE(until([&] { return c->answers.size() == 3; }));
+  c->send(request_text("read") + request_text("read") + request_text("read"));
+  ASSERT_TRUE(until([&] { return c->responses.size() == 3; }));
   for (std::size_t i = 0; i < 3; ++i) {
-    EXPECT_EQ(c->answers[i].body(), std::to_string(i));
+    EXPECT_EQ(c->responses[i].body(), std::to_string(i));
   }
 }
 
@@ -110,33 +110,33 @@
 class AttemptOutcomeTest : public GatewayTest, public ::testing::WithParamInterface<Row> {};
 
 TEST_P(AttemptOutcomeTest, RetriesNonIdempotentRequestOnlyIfNotExecuted) {
-  two_hosts(first(GetParam().wrong));
-  const Response r = ask(text("write", "", "body"));
+  start_with_two_hosts(first_attempt(GetParam().wrong));
+  const Response r = send_request(request_text("write", "", "body"));
   EXPECT_EQ(r.result_int(), GetParam().may_have_run ? 502u : 200u);
-  EXPECT_EQ(reached.size(), GetParam().may_have_run ? 1u : 2u);
+  EXPECT_EQ(attempted_hosts.size(), GetParam().may_have_run ? 1u : 2u);
 }
 
 TEST_P(AttemptOutcomeTest, RetriesIdempotentRequestOnOtherHost) {
-  two_hosts(first(GetParam().wrong));
-  const Response r = ask(text("read"));
+  start_with_two_hosts(first_attempt(GetParam().wrong));
+  const Response r = send_request(request_text("read"));
   EXPECT_EQ(r.result_int(), 200u);
   EXPECT_EQ(r.body(), "late") << "nothing of the broken answer is served";
-  EXPECT_EQ(std::set<std::string>(reached.begin(), reached.end()).size(), 2u);
+  EXPECT_EQ(std::set<std::string>(attempted_hosts.begin(), attempted_hosts.end()).size(), 2u);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Protocol, AttemptOutcomeTest,
     ::testing::Values(
-        Row{"error", [](PeerConnection& c) { c.reply(answer_text(500, "", "no")); }, true},
-        Row{"full503", [](PeerConnection& c) { c.reply(answer_text(503, kNotRun, "")); }, false},
-        Row{"full504", [](PeerConnection& c) { c.reply(answer_text(504, kNotRun, "")); }, false},
-        Row{"bare503", [](PeerConnection& c) { c.reply(answer_text(503, "", "")); }, true},
-        Row{"bare504", [](PeerConnection& c) { c.reply(answer_text(504, "X-Not-Run: 0\r\n", "")); },
-            true},
+        Row{"error", [](PeerConnection& c) { c.reply(response_text(500, "", "no")); }, true},
+        Row{"full503", [](PeerConnection& c) { c.reply(response_text(503, kNotRun, "")); }, false},
+        Row{"full504", [](PeerConnection& c) { c.reply(response_text(504, kNotRun, "")); }, false},
+        Row{"bare503", [](PeerConnection& c) { c.reply(response_text(503, "", "")); }, true},
+        Row{"bare504",
+            [](PeerConnection& c) { c.reply(response_text(504, "X-Not-Run: 0\r\n", "")); }, true},
         Row{"errorThatClaimsNotRun",
-            [](PeerConnection& c) { c.reply(answer_text(500, kNotRun, "")); }, true},
+            [](PeerConnection& c) { c.reply(response_text(500, kNotRun, "")); }, true},
         Row{"unexpected",
-            [](PeerConnection& c) { c.reply(answer_text(302, "Location: /\r\n", "")); }, true},
+            [](PeerConnection& c) { c.reply(response_text(302, "Location: /\r\n", "")); }, true},
         Row{"reset", [](PeerConnection& c) { c.reset(); }, true},
         Row{"closed", [](PeerConnection& c) { c.close(); }, true},
         Row{"garbage", [](PeerConnection& c) { c.reply("what?\r\n\r\n"); }, true},
@@ -167,7 +167,7 @@
             true},
         Row{"tooLarge",
             [](PeerConnection& c) {
-              c.reply(answer_text(200, "", std::string(http::kBodyLimit + 1, 'x')));
+              c.reply(response_text(200, "", std::string(http::kBodyLimit + 1, 'x')));
             },
             true},
         // The connection stays open behind these: it is of no further use, and nobody waits for
@@ -193,11 +193,12 @@
             },
             true},
         Row{"twoLengths",
-            [](PeerConnection& c) { c.reply(answer_text(200, "Content-Length: 3\r\n", "abc")); },
+            [](PeerConnection& c) { c.reply(response_text(200, "Content-Length: 3\r\n", "abc")); },
             true},
         Row{"lengthAndCoding",
             [](PeerConnection& c) {
-              c.reply(answer_text(200, "Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n0\r\n\r\n"));
+              c.reply(
+                  response_text(200, "Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n0\r\n\r\n"));
             },
             true},
         Row{"negativeLength",
@@ -210,22 +211,22 @@
     [](const auto& row) { return row.param.name; });
 
 TEST_F(GatewayTest, SkipsInterimResponses) {
-  add_host("a", always("HTTP/1.1 103 Early\r\nLink: </a>\r\n\r\nHTTP/1.1 102 X\r\n\r\n" +
-                       answer_text(200, "", "final")));
+  add_host("a", always_reply("HTTP/1.1 103 Early\r\nLink: </a>\r\n\r\nHTTP/1.1 102 X\r\n\r\n" +
+                             response_text(200, "", "final")));
   start();
-  EXPECT_EQ(ask(text("write")).body(), "final");
-  EXPECT_EQ(ask(text("write")).body(), "final");
+  EXPECT_EQ(send_request(request_text("write")).body(), "final");
+  EXPECT_EQ(send_request(request_text("write")).body(), "final");
   EXPECT_EQ(hosts[0]->connections.size(), 1u) << "and nothing is wrong with the connection";
 }
 
 TEST_F(GatewayTest, DiscardsBytesAfterCompleteResponse) {
   add_host("a", [](PeerConnection& c, std::size_t n) {
-    const std::string answer = answer_text(200, "", std::to_string(n));
+    const std::string answer = response_text(200, "", std::to_string(n));
     c.reply(n % 2 == 0 ? answer + answer : answer + "\x01noise");
   });
   start();
   for (int i = 0; i < 4; ++i) {
-    EXPECT_EQ(ask(text("write")).body(), std::to_string(i));
+    EXPECT_EQ(send_request(request_text("write")).body(), std::to_string(i));
   }
   EXPECT_EQ(hosts[0]->connections.size(), 4u);
 }
@@ -237,40 +238,41 @@
   start();
   for (std::size_t i = 0; i < 20; ++i) {
     auto c = client();
-    c->send(text("write", "", "x"));
+    c->send(request_text("write", "", "x"));
     ASSERT_TRUE(until([&] { return pending.size() == i + 1; }));
     if (i % 2) {
       c->close();
     }
-    pending.back()->reply(answer_text(200, "", "late"));
+    pending.back()->reply(response_text(200, "", "late"));
     if (i % 2 == 0) {
       c->close();
     }
   }
   hosts[0]->script = [](PeerConnection& p) {
-    p.reply(answer_text(200, "", "on"));
+    p.reply(response_text(200, "", "on"));
   };
-  EXPECT_EQ(ask(text("read")).body(), "on");
+  EXPECT_EQ(send_request(request_text("read")).body(), "on");
 }
 
 TEST_F(GatewayTest, RetriesWhenHostRefusesConnections) {
-  two_hosts(always(answer_text(200, "", "x")));
+  start_with_two_hosts(always_reply(response_text(200, "", "x")));
   hosts[0]->stop_listening();
   for (int i = 0; i < 8; ++i) {
-    EXPECT_EQ(ask(text("write")).result_int(), 200u);
+    EXPECT_EQ(send_request(request_text("write")).result_int(), 200u);
   }
 }
 
 TEST_F(GatewayTest, RejectsRequestWhenAllHostsAreFull) {
-  two_hosts(always(answer_text(503, kNotRun, "")));
-  EXPECT_EQ(ask(text("write")).result_int(), 503u) << "it never ran: a refusal, not a failure";
+  start_with_two_hosts(always_reply(response_text(503, kNotRun, "")));
+  EXPECT_EQ(send_request(request_text("write")).result_int(), 503u)
+      << "it never ran: a refusal, not a failure";
 }
 
 TEST_F(GatewayTest, FailsTimedOutNonIdempotentRequestAndClosesConnection) {
-  shorten(1);
-  two_hosts([](PeerConnection&, std::size_t) {});
-  EXPECT_EQ(ask(text("write")).result_int(), 502u);
-  EXPECT_EQ(reached.size(), 1u);
+  shorten_class_times(1);
+  start_with_two_hosts([](PeerConnection&, std::size_t) {});
+  EXPECT_EQ(send_request(request_text("write")).result_int(), 502u);
+  EXPECT_EQ(attempted_hosts.size(), 1u);
   // A late answer on it would be taken for that to the next request.
   EXPECT_TRUE(until([&] {
     return std::any_of(hosts.begin(), hosts.end(), [](const auto& h) {
@@ -280,25 +282,26 @@
 }
 
 TEST_F(GatewayTest, RejectsTimedOutIdempotentRequest) {
-  shorten(0);
-  two_hosts([](PeerConnection&, std::size_t) {});
-  EXPECT_EQ(ask(text("read")).result_int(), 503u);
+  shorten_class_times(0);
+  start_with_two_hosts([](PeerConnection&, std::size_t) {});
+  EXPECT_EQ(send_request(request_text("read")).result_int(), 503u);
 }
 
 TEST_F(GatewayTest, RespondsAtClientDeadlineWithoutFurtherAttempts) {
-  two_hosts([](PeerConnection&, std::size_t) {});
-  EXPECT_EQ(ask(text("read", "X-Deadline-Ms: 1000\r\n")).result_int(), 503u)
+  start_with_two_hosts([](PeerConnection&, std::size_t) {});
+  EXPECT_EQ(send_request(request_text("read", "X-Deadline-Ms: 1000\r\n")).result_int(), 503u)
       << "long before the aim";
-  EXPECT_EQ(reached.size(), 1u) << "the attempt took all the time there was";
+  EXPECT_EQ(attempted_hosts.size(), 1u) << "the attempt took all the time there was";
   EXPECT_LT(
-      std::stol(hosts[reached[0] == "s-0" ? 0 : 1]->requests.at(0)["X-Deadline-Ms"].to_string()),
+      std::stol(
+          hosts[attempted_hosts[0] == "s-0" ? 0 : 1]->requests.at(0)["X-Deadline-Ms"].to_string()),
       1000);
 }
 
 TEST_F(GatewayTest, SendsNothingWithoutTimeRemaining) {
-  two_hosts(always(answer_text(200, "", "x")));
-  EXPECT_EQ(ask(text("write", "X-Deadline-Ms: 1\r\n")).result_int(), 503u);
-  EXPECT_TRUE(reached.empty());
+  start_with_two_hosts(always_reply(response_text(200, "", "x")));
+  EXPECT_EQ(send_request(request_text("write", "X-Deadline-Ms: 1\r\n")).result_int(), 503u);
+  EXPECT_TRUE(attempted_hosts.empty());
 }
 
 TEST_F(GatewayTest, IgnoresBufferedResponseAfterClientDisconnects) {
@@ -309,17 +312,17 @@
     if (n == 0) {
       pending = c.shared_from_this();
     } else {
-      c.reply(answer_text(200, "", "mine"));
+      c.reply(response_text(200, "", "mine"));
     }
   });
   start();
   auto c = client();
-  c->send(text("read"));
+  c->send(request_text("read"));
   ASSERT_TRUE(until([&] { return pending != nullptr; }));
   c->close();
-  pending->reply(answer_text(200, "", "late"));
+  pending->reply(response_text(200, "", "late"));
   for (int i = 0; i < 3; ++i) {
-    EXPECT_EQ(ask(text("read")).body(), "mine");
+    EXPECT_EQ(send_request(request_text("read")).body(), "mine");
   }
 }
 
@@ -336,10 +339,10 @@
       open;  // host and client of each request
   const auto send_one = [&] {
     auto c = client();
-    c->send(text("write"));
-    const std::size_t before = reached.size();
-    ASSERT_TRUE(until([&] { return reached.size() > before; }));
-    open.emplace_back(reached.back(), c);
+    c->send(request_text("write"));
+    const std::size_t before = attempted_hosts.size();
+    ASSERT_TRUE(until([&] { return attempted_hosts.size() > before; }));
+    open.emplace_back(attempted_hosts.back(), c);
   };
   for (int i = 0; i < 12; ++i) {
     send_one();
@@ -360,38 +363,39 @@
     }));
     for (int i = 0; i < 2; ++i) {
       send_one();
-      EXPECT_EQ(reached.back(), freed) << "all the others hold about two";
+      EXPECT_EQ(attempted_hosts.back(), freed) << "all the others hold about two";
     }
   }
 }
 
 TEST_F(GatewayTest, RetriesExecutedKeyedRequestInSameZone) {
-  const Script script = first([](PeerConnection& c) { c.reset(); });
+  const Script script = first_attempt([](PeerConnection& c) { c.reset(); });
   for (const char* zone : {"a", "a", "b", "b"}) {
     add_host(zone, script);
   }
   start();
-  EXPECT_EQ(ask(text("put")).result_int(), 200u);
-  ASSERT_EQ(reached.size(), 2u);
+  EXPECT_EQ(send_request(request_text("put")).result_int(), 200u);
+  ASSERT_EQ(attempted_hosts.size(), 2u);
   const auto zone_of = [](const std::string& uid) {
     return uid < "s-2" ? 'a' : 'b';
   };
-  EXPECT_EQ(zone_of(reached[0]), zone_of(reached[1]));
-  EXPECT_NE(reached[0], reached[1]);
+  EXPECT_EQ(zone_of(attempted_hosts[0]), zone_of(attempted_hosts[1]));
+  EXPECT_NE(attempted_hosts[0], attempted_hosts[1]);
 }
 
 TEST_F(GatewayTest, DoesNotRetryKeyedRequestAfterDeduplicationWindow) {
   config["settings"]["grades"][2]["windowNs"] = 1;
-  two_hosts(first([](PeerConnection& c) { c.reset(); }));
-  EXPECT_EQ(ask(text("put")).result_int(), 502u);
-  EXPECT_EQ(reached.size(), 1u);
+  start_with_two_hosts(first_attempt([](PeerConnection& c) { c.reset(); }));
+  EXPECT_EQ(send_request(request_text("put")).result_int(), 502u);
+  EXPECT_EQ(attempted_hosts.size(), 1u);
 }
 
 TEST_F(GatewayTest, RejectsDeduplicatedRequestWithoutKey) {
-  two_hosts(always(answer_text(200, "", "x")));
-  EXPECT_EQ(ask("POST /put HTTP/1.1\r\nX-Request-Id: r\r\nContent-Length: 0\r\n\r\n").result_int(),
+  start_with_two_hosts(always_reply(response_text(200, "", "x")));
+  EXPECT_EQ(send_request("POST /put HTTP/1.1\r\nX-Request-Id: r\r\nContent-Length: 0\r\n\r\n")
+                .result_int(),
             400u);
-  EXPECT_TRUE(reached.empty());
+  EXPECT_TRUE(attempted_hosts.empty());
 }
 
 // --- Clients ---
@@ -400,36 +404,36 @@
   add_host("a", [](PeerConnection&, std::size_t) {});
   start();
   auto c = client();
-  c->send(text("read"));
-  ASSERT_TRUE(until([&] { return reached.size() == 1; }));
+  c->send(request_text("read"));
+  ASSERT_TRUE(until([&] { return attempted_hosts.size() == 1; }));
   c->close();
   EXPECT_TRUE(until([&] { return hosts[0]->connections[0]->closed_by_peer; }));
   hosts[0]->script = [](PeerConnection& p) {
-    p.reply(answer_text(200, "", "on"));
+    p.reply(response_text(200, "", "on"));
   };
-  EXPECT_EQ(ask(text("read")).body(), "on");
+  EXPECT_EQ(send_request(request_text("read")).body(), "on");
 }
 
 TEST_F(GatewayTest, RejectionAfterFailedAttemptsHasRetryAfter) {
   config["settings"]["ceilings"]["retryAfter"] = true;
-  two_hosts(always(answer_text(503, kNotRun, "")));
-  const Response r = ask(text("write"));
+  start_with_two_hosts(always_reply(response_text(503, kNotRun, "")));
+  const Response r = send_request(request_text("write"));
   EXPECT_EQ(r.result_int(), 503u);
   EXPECT_EQ(r.count("Retry-After"), 1u);
-  EXPECT_FALSE(reached.empty());
+  EXPECT_FALSE(attempted_hosts.empty());
 }
 
 TEST_F(GatewayTest, RetriesDoNotMakeFirstAttemptsLookLate) {
   // An attempt has 14 s of the client's 20 s, a retry the time remaining. A retry after the latency
   // objective is rejected without being sent.
   config["settings"]["grades"][0]["aimNs"] = 5'000'000'000;
-  add_host("a", always(answer_text(200, "", "x")));
+  add_host("a", always_reply(response_text(200, "", "x")));
   start();
   const std::string first_try = "X-Deadline-Ms: 14000\r\n";
-  EXPECT_EQ(ask(text("read", first_try)).result_int(), 200u);
+  EXPECT_EQ(send_request(request_text("read", first_try)).result_int(), 200u);
   for (int i = 0; i < 60; ++i) {
     const std::string left = "X-Deadline-Ms: " + std::to_string(800 + 400 * (i * 7 % 28)) + "\r\n";
-    EXPECT_EQ(ask(text("read", i % 4 == 3 ? first_try : left)).result_int(),
+    EXPECT_EQ(send_request(request_text("read", i % 4 == 3 ? first_try : left)).result_int(),
               i % 4 == 3 ? 200u : 503u)
         << i;
   }
@@ -437,10 +441,10 @@
 
 TEST_F(GatewayTest, ServesFirstAttemptsAfterStartWithRetry) {
   config["settings"]["grades"][0]["aimNs"] = 5'000'000'000;
-  add_host("a", always(answer_text(200, "", "x")));
+  add_host("a", always_reply(response_text(200, "", "x")));
   start();
-  ask(text("read", "X-Deadline-Ms: 2000\r\n"));
-  EXPECT_EQ(ask(text("read", "X-Deadline-Ms: 14000\r\n")).result_int(), 200u);
+  send_request(request_text("read", "X-Deadline-Ms: 2000\r\n"));
+  EXPECT_EQ(send_request(request_text("read", "X-Deadline-Ms: 14000\r\n")).result_int(), 200u);
 }
 
 TEST_F(GatewayTest, OverloadRejectionsHaveRetryAfter) {
@@ -450,65 +454,72 @@
   std::vector<std::shared_ptr<Client>> clients;
   for (int i = 0; i < 60; ++i) {
     clients.push_back(client());
-    clients.back()->send(text("read"));
+    clients.back()->send(request_text("read"));
   }
   ASSERT_TRUE(until([&] {
     return std::any_of(clients.begin(), clients.end(), [](const auto& c) {
-      return !c->answers.empty() && c->answers[0].result_int() == 503 &&
-             c->answers[0].count("Retry-After");
+      return !c->responses.empty() && c->responses[0].result_int() == 503 &&
+             c->responses[0].count("Retry-After");
     });
   }));
 }
 
 TEST_F(GatewayTest, RejectsMalformedInputAndContinuesToServe) {
-  two_hosts(always(answer_text(200, "", "ok")));
-  EXPECT_EQ(ask("nonsense\r\n\r\n").result_int(), 400u);
-  EXPECT_EQ(ask("GET /read HTTP/1.1\r\nX-Class: read\r\n\r\n").result_int(), 400u) << "no id";
-  EXPECT_EQ(ask(text("read", "X-Deadline-Ms: soon\r\n")).result_int(), 400u);
-  EXPECT_EQ(ask("GET /other HTTP/1.1\r\nX-Request-Id: r\r\n\r\n").result_int(), 404u);
-  EXPECT_EQ(ask("GET /alive HTTP/1.1\r\n\r\n").result_int(), 404u);
-  EXPECT_EQ(ask("GET /write HTTP/1.1\r\nX-Request-Id: r\r\n\r\n").result_int(), 405u);
-  EXPECT_EQ(ask(text("write", "", std::string(http::kBodyLimit + 1, 'x'))).result_int(), 413u);
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
+  EXPECT_EQ(send_request("nonsense\r\n\r\n").result_int(), 400u);
+  EXPECT_EQ(send_request("GET /read HTTP/1.1\r\nX-Class: read\r\n\r\n").result_int(), 400u)
+      << "no id";
+  EXPECT_EQ(send_request(request_text("read", "X-Deadline-Ms: soon\r\n")).result_int(), 400u);
+  EXPECT_EQ(send_request("GET /other HTTP/1.1\r\nX-Request-Id: r\r\n\r\n").result_int(), 404u);
+  EXPECT_EQ(send_request("GET /alive HTTP/1.1\r\n\r\n").result_int(), 404u);
+  EXPECT_EQ(send_request("GET /write HTTP/1.1\r\nX-Request-Id: r\r\n\r\n").result_int(), 405u);
   EXPECT_EQ(
-      ask(text("read", "X-Long: " + std::string(http::kHeaderLimit, 'x') + "\r\n")).result_int(),
+      send_request(request_text("write", "", std::string(http::kBodyLimit + 1, 'x'))).result_int(),
       413u);
-  EXPECT_TRUE(reached.empty());
-  EXPECT_EQ(ask(text("write", "", std::string(http::kBodyLimit, 'x'))).result_int(), 200u);
+  EXPECT_EQ(
+      send_request(request_text("read", "X-Long: " + std::string(http::kHeaderLimit, 'x') + "\r\n"))
+          .result_int(),
+      413u);
+  EXPECT_TRUE(attempted_hosts.empty());
+  EXPECT_EQ(
+      send_request(request_text("write", "", std::string(http::kBodyLimit, 'x'))).result_int(),
+      200u);
 }
 
 TEST_F(GatewayTest, RejectsUnboundedChunkHeadWithoutSideEffects) {
-  two_hosts(always(answer_text(200, "", "ok")));
-  EXPECT_EQ(ask("POST /write HTTP/1.1\r\nX-Request-Id: r\r\nTransfer-Encoding: chunked\r\n\r\n5;" +
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
+  EXPECT_EQ(send_request(
+                "POST /write HTTP/1.1\r\nX-Request-Id: r\r\nTransfer-Encoding: chunked\r\n\r\n5;" +
                 std::string(std::size_t{8} * http::kHeaderLimit, 'x'))
                 .result_int(),
             413u);
-  EXPECT_EQ(ask(text("write")).result_int(), 200u);
+  EXPECT_EQ(send_request(request_text("write")).result_int(), 200u);
 }
 
 TEST_F(GatewayTest, ClosesConnectionThatSendsTooSlowly) {
   waits.clients.request_timeout = std::chrono::milliseconds(20);
-  two_hosts(always(answer_text(200, "", "ok")));
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
   auto c = client();
   c->send("GET /read HT");
   EXPECT_TRUE(until([&] { return c->closed_by_peer; }));
-  EXPECT_TRUE(c->answers.empty());
+  EXPECT_TRUE(c->responses.empty());
 }
 
 TEST_F(GatewayTest, ClosesSilentConnectionBeforeIdleOne) {
-  two_hosts(always(answer_text(200, "", "ok")));
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
   gateway.reset();
   waits.clients.request_timeout = std::chrono::milliseconds(1000);
   start();
   auto usual = client();
-  usual->send(text("read"));
-  ASSERT_TRUE(until([&] { return usual->answers.size() == 1; }));
+  usual->send(request_text("read"));
+  ASSERT_TRUE(until([&] { return usual->responses.size() == 1; }));
   auto silent = client();
   EXPECT_TRUE(until([&] { return silent->closed_by_peer; }));
   EXPECT_FALSE(usual->closed_by_peer);
 }
 
 TEST_F(GatewayTest, RejectsAmbiguousFraming) {
-  two_hosts(always(answer_text(200, "", "ok")));
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
   const std::string post = "POST /write HTTP/1.1\r\nX-Request-Id: r\r\n";
   const std::string hidden = "GET /read HTTP/1.1\r\nX-Request-Id: hidden\r\n\r\n";
   const std::string coded = "Transfer-Encoding: chunked\r\n";
@@ -540,51 +551,51 @@
     auto c = client();
     c->send(bad);
     ASSERT_TRUE(until([&] { return c->closed_by_peer; })) << bad;
-    ASSERT_EQ(c->answers.size(), 1u) << bad;
-    EXPECT_EQ(c->answers[0].result_int(), 400u) << bad;
+    ASSERT_EQ(c->responses.size(), 1u) << bad;
+    EXPECT_EQ(c->responses[0].result_int(), 400u) << bad;
   }
-  EXPECT_TRUE(reached.empty());
+  EXPECT_TRUE(attempted_hosts.empty());
 }
 
 TEST_F(GatewayTest, DoesNotReadRestOfRejectedBody) {
-  two_hosts(always(answer_text(200, "", "ok")));
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
   auto c = client();
   const std::size_t before = gateway->connections();
   c->send("POST /write HTTP/1.1\r\nX-Request-Id: r\r\nContent-Length: 60000000\r\n\r\n" +
           std::string(60'000'000, 'x'));
   EXPECT_TRUE(until([&] { return gateway->connections() < before + 1 && c->closed_by_peer; }));
-  EXPECT_TRUE(c->answers.empty() || c->answers[0].result_int() == 413u);
+  EXPECT_TRUE(c->responses.empty() || c->responses[0].result_int() == 413u);
 }
 
 TEST_F(GatewayTest, SilentConnectionsDoNotDisplaceOthers) {
   waits.clients.connections = 8;
-  two_hosts(always(answer_text(200, "", "ok")));
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
   auto usual = client();
-  usual->send(text("read"));
-  ASSERT_TRUE(until([&] { return usual->answers.size() == 1; }));
+  usual->send(request_text("read"));
+  ASSERT_TRUE(until([&] { return usual->responses.size() == 1; }));
   std::vector<std::shared_ptr<Client>> silent;
   for (int i = 0; i < 40; ++i) {
     silent.push_back(client());
   }
-  EXPECT_EQ(ask(text("read")).result_int(), 200u) << "behind all of them";
+  EXPECT_EQ(send_request(request_text("read")).result_int(), 200u) << "behind all of them";
   EXPECT_FALSE(usual->closed_by_peer);
-  usual->send(text("read"));
-  EXPECT_TRUE(until([&] { return usual->answers.size() == 2; }));
+  usual->send(request_text("read"));
+  EXPECT_TRUE(until([&] { return usual->responses.size() == 2; }));
 }
 
 TEST_F(GatewayTest, FreesCapacityFromIdleClientsInAdvance) {
   config["limits"]["sockets"] = 96;  // 38 clients at most, 24 that have asked
   waits.clients.idle_timeout = std::chrono::minutes(10);
-  add_host("a", always(answer_text(200, "", "x")));
+  add_host("a", always_reply(response_text(200, "", "x")));
   start();
   std::vector<std::shared_ptr<Client>> stay;
   const auto used = client();
   for (std::size_t i = 0; i < 30; ++i) {
     stay.push_back(client());
     for (const auto& c : {stay.back(), used}) {
-      const std::size_t before = c->answers.size();
-      c->send(text("read"));
-      ASSERT_TRUE(until([&] { return c->answers.size() > before; }));
+      const std::size_t before = c->responses.size();
+      c->send(request_text("read"));
+      ASSERT_TRUE(until([&] { return c->responses.size() > before; }));
     }
   }
   EXPECT_TRUE(until([&] {
@@ -598,29 +609,29 @@
 
 TEST_F(GatewayTest, ClosesIdleClientsForNewConnections) {
   waits.clients.connections = 4;
-  two_hosts(always(answer_text(200, "", "ok")));
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
   std::vector<std::shared_ptr<Client>> idle;
   for (int i = 0; i < 4; ++i) {
     idle.push_back(client());
   }
   for (int i = 0; i < 6; ++i) {
-    EXPECT_EQ(ask(text("read")).result_int(), 200u);
+    EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
   }
 }
 
 TEST_F(GatewayTest, LimitsUpstreamConnections) {
   config["limits"]["sockets"] = 64;  // leaves a dozen for hosts
-  shorten(1);
+  shorten_class_times(1);
   add_host("a", [](PeerConnection&, std::size_t) {});
   start();
   std::vector<std::shared_ptr<Client>> clients;
   for (int i = 0; i < 19; ++i) {
     clients.push_back(client());
-    clients.back()->send(text("write"));
+    clients.back()->send(request_text("write"));
   }
   ASSERT_TRUE(until([&] {
     return std::all_of(clients.begin(), clients.end(),
-                       [](const auto& c) { return c->answers.size() == 1; });
+                       [](const auto& c) { return c->responses.size() == 1; });
   }));
   EXPECT_LE(hosts[0]->connections.size(), 12u);
 }
@@ -628,85 +639,85 @@
 TEST_F(GatewayTest, IsReadyOnceHostsAreKnown) {
   config["known"] = {{"rev", 0}, {"all", true}, {"targets", json::array()}};
   discovery.failing = true;
-  two_hosts(always(answer_text(200, "", "ok")));
-  EXPECT_EQ(ask("GET /up HTTP/1.1\r\n\r\n").result_int(), 503u);
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
+  EXPECT_EQ(send_request("GET /up HTTP/1.1\r\n\r\n").result_int(), 503u);
   gateway.reset();
   config["known"] = {{"rev", 1}, {"all", true}, {"targets", discovery.list}};
   start();
-  EXPECT_EQ(ask("GET /up HTTP/1.1\r\n\r\n").result_int(), 200u);
+  EXPECT_EQ(send_request("GET /up HTTP/1.1\r\n\r\n").result_int(), 200u);
 }
 
 // --- Discovery ---
 
 TEST_F(GatewayTest, SendsNoNewRequestsToDrainingHost) {
-  two_hosts(always(answer_text(200, "", "ok")));
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   for (int i = 0; i < 20; ++i) {
-    ask(text("read"));
+    send_request(request_text("read"));
   }
   discovery.push(
       {{"all", false}, {"targets", {target("s-0", hosts[0]->endpoint, "a", "DRAINING")}}});
   // The next watch tells that the last answer was taken in.
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
-  EXPECT_NE(discovery.targets.back().find("since=2"), std::string::npos)
-      << discovery.targets.back();
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
+  EXPECT_NE(discovery.request_targets.back().find("since=2"), std::string::npos)
+      << discovery.request_targets.back();
   const std::size_t before = hosts[0]->requests.size();
   for (int i = 0; i < 20; ++i) {
-    EXPECT_EQ(ask(text("read")).result_int(), 200u);
+    EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
   }
   EXPECT_EQ(hosts[0]->requests.size(), before);
 }
 
 TEST_F(GatewayTest, RemovesHostsMissingFromSnapshot) {
-  two_hosts(always(answer_text(200, "", "ok")));
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   discovery.push({{"all", true}, {"targets", {target("s-1", hosts[1]->endpoint)}}});
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   for (int i = 0; i < 20; ++i) {
-    EXPECT_EQ(ask(text("read")).result_int(), 200u);
+    EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
   }
   EXPECT_TRUE(hosts[0]->requests.empty());
 }
 
 TEST_F(GatewayTest, AcceptsOutdatedKnownList) {
-  two_hosts(always(answer_text(200, "", "ok")));
-  EXPECT_TRUE(until([&] { return !discovery.targets.empty(); }));
-  EXPECT_NE(discovery.targets[0].find("since=1&"), std::string::npos)
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
+  EXPECT_TRUE(until([&] { return !discovery.request_targets.empty(); }));
+  EXPECT_NE(discovery.request_targets[0].find("since=1&"), std::string::npos)
       << "what it missed is asked for at once";
 }
 
 TEST_F(GatewayTest, PollsSnapshotWithoutKnownList) {
-  add_host("a", always(answer_text(200, "", "ok")));
+  add_host("a", always_reply(response_text(200, "", "ok")));
   config["known"] = nullptr;
   config["discovery"] = text_of(discovery.peer.endpoint);
   config.erase("known");
   gateway = std::make_unique<Gateway>(
       io, config::parse_config(config, [&](const char*) { return nullptr; }), waits,
       [](const std::string&) {});
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
-  EXPECT_EQ(discovery.targets[0], "/discovery/hosts");
-  EXPECT_EQ(ask(text("read")).result_int(), 200u);
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
+  EXPECT_EQ(discovery.request_targets[0], "/discovery/hosts");
+  EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
 }
 
 TEST_F(GatewayTest, BalancerRestartsFailedWatch) {
   discovery.failing = true;
-  two_hosts(always(answer_text(200, "", "ok")));
-  ASSERT_TRUE(until([&] { return !discovery.targets.empty(); }));
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
+  ASSERT_TRUE(until([&] { return !discovery.request_targets.empty(); }));
   discovery.failing = false;
-  EXPECT_TRUE(until([&] { return discovery.held.size() == 1; }));
-  discovery.held[0]->reply(answer_text(200, "", "garbage"));
-  discovery.held.clear();
-  EXPECT_TRUE(until([&] { return discovery.held.size() == 1; }));
-  EXPECT_EQ(ask(text("read")).result_int(), 200u);
+  EXPECT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
+  discovery.pending_watches[0]->reply(response_text(200, "", "garbage"));
+  discovery.pending_watches.clear();
+  EXPECT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
+  EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
 }
 
 TEST_F(GatewayTest, TreatsSilentWatchAsFailed) {
   waits.discovery.answer = waits.discovery.at_once = std::chrono::milliseconds(20);
   discovery.peer.script = [&](PeerConnection& c) {
-    discovery.targets.push_back(c.request.target().to_string());
+    discovery.request_targets.push_back(c.request.target().to_string());
   };
-  two_hosts(always(answer_text(200, "", "ok")));
-  EXPECT_TRUE(until([&] { return discovery.targets.size() == 2; }));
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
+  EXPECT_TRUE(until([&] { return discovery.request_targets.size() == 2; }));
 }
 
 // A change during a silent watch must be known soon after, and so must the late response to it.
@@ -714,17 +725,17 @@
   waits.discovery.watch = waits.discovery.answer = std::chrono::milliseconds(60);
   std::vector<std::shared_ptr<PeerConnection>> calls;
   const auto answer = [](int version, const json& changed) {
-    return answer_text(200, "",
-                       json{{"rev", version}, {"all", false}, {"targets", changed}}.dump());
+    return response_text(200, "",
+                         json{{"rev", version}, {"all", false}, {"targets", changed}}.dump());
   };
   discovery.peer.script = [&](PeerConnection& c) {
     calls.push_back(c.shared_from_this());
-    discovery.targets.push_back(c.request.target().to_string());
+    discovery.request_targets.push_back(c.request.target().to_string());
     if (calls.size() % 2 == 1) {
       c.reply(answer(1, json::array()));  // the first call of a watch
     }
   };
-  two_hosts(always(answer_text(200, "", "ok")));
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
   const auto began = std::chrono::steady_clock::now();
   ASSERT_TRUE(until([&] { return calls.size() == 4; }));
   EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::milliseconds(450))
@@ -733,9 +744,10 @@
   calls[1]->reply(answer(2, {target("s-0", hosts[0]->endpoint, "a", "DRAINING")}));
   ASSERT_TRUE(until([&] { return calls[1]->closed_by_peer; }));
   for (int i = 0; i < 8; ++i) {
-    EXPECT_EQ(ask(text("read")).result_int(), 200u);
+    EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
   }
-  EXPECT_EQ(std::set<std::string>(reached.begin(), reached.end()), std::set<std::string>{"s-1"});
+  EXPECT_EQ(std::set<std::string>(attempted_hosts.begin(), attempted_hosts.end()),
+            std::set<std::string>{"s-1"});
 }
 
 // A response that is being written must be read: if the call were aborted now, the gateway would
@@ -744,11 +756,11 @@
   asio::steady_timer later(io, std::chrono::milliseconds(2050));
   std::shared_ptr<PeerConnection> first;
   discovery.peer.script = [&](PeerConnection& c) {
-    discovery.targets.push_back(c.request.target().to_string());
-    if (discovery.targets.size() == 1) {
+    discovery.request_targets.push_back(c.request.target().to_string());
+    if (discovery.request_targets.size() == 1) {
       first = c.shared_from_this();
     } else {
-      discovery.held.push_back(c.shared_from_this());
+      discovery.pending_watches.push_back(c.shared_from_this());
     }
   };
   later.async_wait([&](boost::system::error_code) {
@@ -756,16 +768,18 @@
                       {"all", false},
                       {"targets", {target("s-0", hosts[0]->endpoint, "a", "DRAINING")}}};
     if (first) {
-      first->reply(answer_text(200, "", drains.dump()));
+      first->reply(response_text(200, "", drains.dump()));
     }
   });
-  two_hosts(always(answer_text(200, "", "ok")));
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
-  EXPECT_NE(discovery.targets[1].find("since=2&"), std::string::npos) << discovery.targets[1];
+  start_with_two_hosts(always_reply(response_text(200, "", "ok")));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
+  EXPECT_NE(discovery.request_targets[1].find("since=2&"), std::string::npos)
+      << discovery.request_targets[1];
   for (int i = 0; i < 8; ++i) {
-    EXPECT_EQ(ask(text("read")).result_int(), 200u);
+    EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
   }
-  EXPECT_EQ(std::set<std::string>(reached.begin(), reached.end()), std::set<std::string>{"s-1"});
+  EXPECT_EQ(std::set<std::string>(attempted_hosts.begin(), attempted_hosts.end()),
+            std::set<std::string>{"s-1"});
 }
 
 // --- Stop ---
@@ -776,53 +790,54 @@
     if (n == 0) {
       pending = c.shared_from_this();
     } else {
-      c.reply(answer_text(200, "", "new"));
+      c.reply(response_text(200, "", "new"));
     }
   });
   start();
   auto taken = client();
   auto idle = client();
-  taken->send(text("write"));
+  taken->send(request_text("write"));
   ASSERT_TRUE(until([&] { return pending != nullptr; }));
   bool done = false;
   gateway->stop([&] { done = true; });
   auto late = client();
-  late->send(text("read"));
-  ASSERT_TRUE(until([&] { return !late->answers.empty(); }))
+  late->send(request_text("read"));
+  ASSERT_TRUE(until([&] { return !late->responses.empty(); }))
       << "connections are taken for a while yet";
-  EXPECT_EQ(late->answers[0].body(), "new");
-  EXPECT_FALSE(late->answers[0].keep_alive());
+  EXPECT_EQ(late->responses[0].body(), "new");
+  EXPECT_FALSE(late->responses[0].keep_alive());
   EXPECT_TRUE(until([&] { return idle->closed_by_peer && late->closed_by_peer; }));
   EXPECT_FALSE(done);
-  pending->reply(answer_text(200, "", "kept"));
+  pending->reply(response_text(200, "", "kept"));
   ASSERT_TRUE(until([&] { return done; }));
-  EXPECT_TRUE(until([&] { return !taken->answers.empty(); }));
-  EXPECT_EQ(taken->answers[0].body(), "kept");
-  EXPECT_FALSE(taken->answers[0].keep_alive());
+  EXPECT_TRUE(until([&] { return !taken->responses.empty(); }));
+  EXPECT_EQ(taken->responses[0].body(), "kept");
+  EXPECT_FALSE(taken->responses[0].keep_alive());
 }
 
 // --- Operators ---
 
 TEST_F(GatewayTest, SendsNothingToHostInMaintenance) {
-  two_hosts(always(answer_text(200, "", "x")));
+  start_with_two_hosts(always_reply(response_text(200, "", "x")));
   gateway->set_maintenance("s-0", true);
   for (int i = 0; i < 10; ++i) {
-    EXPECT_EQ(ask(text("read")).result_int(), 200u);
+    EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
   }
-  EXPECT_EQ(std::set<std::string>(reached.begin(), reached.end()), std::set<std::string>{"s-1"});
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  EXPECT_EQ(std::set<std::string>(attempted_hosts.begin(), attempted_hosts.end()),
+            std::set<std::string>{"s-1"});
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   discovery.push({{"all", true}, {"targets", discovery.list}});
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   gateway->set_maintenance("s-1", true);
-  EXPECT_EQ(ask(text("read")).result_int(), 503u) << "whatever the list says";
-  reached.clear();
+  EXPECT_EQ(send_request(request_text("read")).result_int(), 503u) << "whatever the list says";
+  attempted_hosts.clear();
   gateway->set_maintenance("s-1", false);
-  ASSERT_TRUE(until([&] { return ask(text("read")).result_int() == 200u; }));
-  EXPECT_EQ(reached.front(), "s-1");
+  ASSERT_TRUE(until([&] { return send_request(request_text("read")).result_int() == 200u; }));
+  EXPECT_EQ(attempted_hosts.front(), "s-1");
 }
 
 TEST_F(GatewayTest, ReroutesUnsentAttemptWhenMaintenanceBegins) {
-  two_hosts(always(answer_text(200, "", "x")));
+  start_with_two_hosts(always_reply(response_text(200, "", "x")));
   // A listener whose queue is full answers no further connection.
   tcp::acceptor full(io, loopback());
   full.listen(0);
@@ -832,29 +847,29 @@
     queue.back()->async_connect(full.local_endpoint(), [](error_code) {});
   }
   io.poll();
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   discovery.push({{"all", false}, {"targets", {target("s-2", full.local_endpoint())}}});
   ASSERT_TRUE(until([&] { return gateway->hosts() == 3; }));
   gateway->set_maintenance("s-0", true);
   gateway->set_maintenance("s-1", true);
   auto c = client();
-  c->send(text("write"));
+  c->send(request_text("write"));
   ASSERT_TRUE(until([&] { return gateway->active_requests() == 1; }));
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   discovery.push({{"all", false}, {"targets", {target("s-3", hosts[1]->endpoint)}}});
   ASSERT_TRUE(until([&] { return gateway->hosts() == 4; }));
   gateway->set_maintenance("s-2", true);
-  ASSERT_TRUE(until([&] { return !c->answers.empty(); }));
-  EXPECT_EQ(c->answers[0].result_int(), 200u);
+  ASSERT_TRUE(until([&] { return !c->responses.empty(); }));
+  EXPECT_EQ(c->responses[0].result_int(), 200u);
   EXPECT_EQ(hosts[1]->requests.size(), 1u);
 }
 
 TEST_F(GatewayTest, ReportsEveryListedHost) {
-  two_hosts(always(answer_text(200, "", "x")));
+  start_with_two_hosts(always_reply(response_text(200, "", "x")));
   std::set<std::string> listed;
   gateway->on_endpoint_listed([&](const std::string& uid) { listed.insert(uid); });
   EXPECT_EQ(listed, (std::set<std::string>{"s-0", "s-1"})) << "by the list from the start";
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   discovery.push({{"all", false}, {"targets", {target("s-9", hosts[0]->endpoint)}}});
   EXPECT_TRUE(until([&] { return listed.count("s-9") == 1; }));
 }
@@ -865,53 +880,53 @@
     if (n == 0) {
       pending = c.shared_from_this();
     } else {
-      c.reply(answer_text(200, "", "x"));
+      c.reply(response_text(200, "", "x"));
     }
   });
   start();
   auto waiting = client();
   auto idle = client();
   auto silent = client();
-  waiting->send(text("write"));
+  waiting->send(request_text("write"));
   ASSERT_TRUE(until([&] { return pending != nullptr; }));
-  idle->send(text("read"));
-  ASSERT_TRUE(until([&] { return !idle->answers.empty(); }));
-  EXPECT_TRUE(idle->answers[0].keep_alive());
+  idle->send(request_text("read"));
+  ASSERT_TRUE(until([&] { return !idle->responses.empty(); }));
+  EXPECT_TRUE(idle->responses[0].keep_alive());
   EXPECT_TRUE(gateway->takes_clients());
   gateway->set_drained(true);
   gateway->set_drained(true);
   EXPECT_FALSE(gateway->takes_clients());
-  EXPECT_EQ(ask("GET /up HTTP/1.1\r\n\r\n").result_int(), 503u);
-  const Response late = ask(text("read"));
+  EXPECT_EQ(send_request("GET /up HTTP/1.1\r\n\r\n").result_int(), 503u);
+  const Response late = send_request(request_text("read"));
   EXPECT_EQ(late.result_int(), 200u);
   EXPECT_FALSE(late.keep_alive());
   ASSERT_TRUE(until([&] { return idle->closed_by_peer && silent->closed_by_peer; }));
   EXPECT_FALSE(waiting->closed_by_peer);
-  pending->reply(answer_text(200, "", "kept"));
+  pending->reply(response_text(200, "", "kept"));
   ASSERT_TRUE(until([&] { return waiting->closed_by_peer; }));
-  EXPECT_EQ(waiting->answers.at(0).body(), "kept");
+  EXPECT_EQ(waiting->responses.at(0).body(), "kept");
   gateway->set_drained(false);
   EXPECT_TRUE(gateway->takes_clients());
-  EXPECT_EQ(ask("GET /up HTTP/1.1\r\n\r\n").result_int(), 200u);
-  EXPECT_TRUE(ask(text("read")).keep_alive());
+  EXPECT_EQ(send_request("GET /up HTTP/1.1\r\n\r\n").result_int(), 200u);
+  EXPECT_TRUE(send_request(request_text("read")).keep_alive());
 }
 
 TEST_F(GatewayTest, EndOfDrainDoesNotCancelStop) {
-  add_host("a", always(answer_text(200, "", "x")));
+  add_host("a", always_reply(response_text(200, "", "x")));
   start();
   bool done = false;
   gateway->set_drained(true);
   gateway->stop([&] { done = true; });
   gateway->set_drained(false);
   EXPECT_FALSE(gateway->takes_clients());
-  EXPECT_FALSE(ask(text("read")).keep_alive());
+  EXPECT_FALSE(send_request(request_text("read")).keep_alive());
   EXPECT_TRUE(until([&] { return done; }));
 }
 
 // --- Shared listening socket ---
 
 TEST_F(GatewayTest, TwoGatewaysShareListeningSocket) {
-  add_host("a", always(answer_text(200, "", "x")));
+  add_host("a", always_reply(response_text(200, "", "x")));
   tcp::acceptor platform(io, loopback());
   const auto copy_of = [&] {
     return dup(platform.native_handle());
@@ -929,7 +944,7 @@
   gateway = make();
   EXPECT_FALSE(gateway->takes_clients()) << "not before discovery has answered";
   ASSERT_TRUE(until([&] { return gateway->takes_clients(); }));
-  EXPECT_EQ(ask(text("read")).result_int(), 200u);
+  EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
   auto next = make();
   ASSERT_TRUE(until([&] { return next->takes_clients(); }));
   bool done = false;
@@ -938,12 +953,12 @@
   gateway.swap(next);
   next.reset();
   platform.non_blocking(false);  // the flag is shared: a gateway must not hang on it
-  EXPECT_EQ(ask(text("read")).result_int(), 200u) << "the socket still listens";
+  EXPECT_EQ(send_request(request_text("read")).result_int(), 200u) << "the socket still listens";
   EXPECT_TRUE(platform.is_open());
 }
 
 TEST_F(GatewayTest, LeavesWaitingConnectionsOfSharedSocketToNextProcess) {
-  add_host("a", always(answer_text(200, "", "x")));
+  add_host("a", always_reply(response_text(200, "", "x")));
   tcp::acceptor platform(io, loopback());
   config["listen"] = text_of(platform.local_endpoint());
   config["discovery"] = text_of(discovery.peer.endpoint);
@@ -957,7 +972,7 @@
   gateway->stop([&] { done = true; });
   ASSERT_TRUE(until([&] { return done; }));
   auto waiting = Client::connect(io, platform.local_endpoint());
-  waiting->send(text("read"));
+  waiting->send(request_text("read"));
   platform.non_blocking(true);
   bool taken = false;
   platform.async_accept([&](error_code ec, tcp::socket) { taken = !ec; });
@@ -967,16 +982,16 @@
 // --- Retained state ---
 
 TEST_F(GatewayTest, ForgetsRemovedHosts) {
-  add_host("a", always(answer_text(200, "", "stays")));
+  add_host("a", always_reply(response_text(200, "", "stays")));
   start();
   for (int i = 0; i < 20; ++i) {
-    ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+    ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
     // Each new one at the address of one that is gone, under an id of its own.
     const std::string uid = "s-new-" + std::to_string(i);
     discovery.push({{"all", false}, {"targets", {target(uid, hosts[0]->endpoint)}}});
     ASSERT_TRUE(until([&] { return gateway->hosts() == 2; }));
-    EXPECT_EQ(ask(text("write")).body(), "stays");
-    ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+    EXPECT_EQ(send_request(request_text("write")).body(), "stays");
+    ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
     if (i % 2) {
       discovery.push({{"all", true}, {"targets", discovery.list}});
     } else {
@@ -992,14 +1007,14 @@
   add_host("a", [&](PeerConnection& c, std::size_t) { pending = c.shared_from_this(); });
   start();
   auto c = client();
-  c->send(text("write"));
-  ASSERT_TRUE(until([&] { return pending && discovery.held.size() == 1; }));
+  c->send(request_text("write"));
+  ASSERT_TRUE(until([&] { return pending && discovery.pending_watches.size() == 1; }));
   discovery.push({{"all", true}, {"targets", json::array()}});
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   EXPECT_EQ(gateway->hosts(), 1u);
-  pending->reply(answer_text(200, "", "late but whole"));
-  ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
-  EXPECT_EQ(c->answers[0].body(), "late but whole");
+  pending->reply(response_text(200, "", "late but whole"));
+  ASSERT_TRUE(until([&] { return c->responses.size() == 1; }));
+  EXPECT_EQ(c->responses[0].body(), "late but whole");
   EXPECT_TRUE(until([&] { return pending->closed_by_peer && gateway->hosts() == 0; }));
 }
 
@@ -1007,63 +1022,64 @@
   std::shared_ptr<PeerConnection> pending;
   add_host("a", [&](PeerConnection& c, std::size_t) { pending = c.shared_from_this(); });
   start();
-  const std::string one = text("write");
+  const std::string one = request_text("write");
   auto c = client();
   c->send(one);
   ASSERT_TRUE(until([&] { return pending != nullptr; }));
-  EXPECT_EQ(ask(one).result_int(), 409u);
-  pending->reply(answer_text(200, "", "first"));
-  ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
-  EXPECT_EQ(c->answers[0].body(), "first");
-  EXPECT_EQ(reached.size(), 1u);
+  EXPECT_EQ(send_request(one).result_int(), 409u);
+  pending->reply(response_text(200, "", "first"));
+  ASSERT_TRUE(until([&] { return c->responses.size() == 1; }));
+  EXPECT_EQ(c->responses[0].body(), "first");
+  EXPECT_EQ(attempted_hosts.size(), 1u);
   EXPECT_EQ(gateway->active_requests(), 0u);
 }
 
 TEST_F(GatewayTest, DoesNotRetryBadRequestOrBlameHost) {
-  two_hosts(
-      [](PeerConnection& c, std::size_t n) { c.reply(answer_text(n < 20 ? 400 : 200, "", "")); });
+  start_with_two_hosts(
+      [](PeerConnection& c, std::size_t n) { c.reply(response_text(n < 20 ? 400 : 200, "", "")); });
   for (std::size_t i = 1; i <= 20; ++i) {
-    EXPECT_EQ(ask(text("read")).result_int(), 502u);
-    EXPECT_EQ(reached.size(), i);
+    EXPECT_EQ(send_request(request_text("read")).result_int(), 502u);
+    EXPECT_EQ(attempted_hosts.size(), i);
   }
-  EXPECT_EQ(ask(text("read")).result_int(), 200u);
+  EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
 }
 
 // --- Reload ---
 
 TEST_F(GatewayTest, ReloadSwitchesDiscoveryAndKeepsHostsUntilItsList) {
-  add_host("a", always(answer_text(200, "", "old")));
+  add_host("a", always_reply(response_text(200, "", "old")));
   start();
-  ASSERT_TRUE(until([&] { return !discovery.held.empty(); }));
+  ASSERT_TRUE(until([&] { return !discovery.pending_watches.empty(); }));
   FakeDiscovery other(io);  // counts its versions from the start
-  Peer newcomer(io, [](PeerConnection& c) { c.reply(answer_text(200, "", "new")); });
+  Peer newcomer(io, [](PeerConnection& c) { c.reply(response_text(200, "", "new")); });
   other.list.push_back(target("s-new", newcomer.endpoint));
   other.version = 0;
   other.failing = true;
   config["discovery"] = text_of(other.peer.endpoint);
   gateway->reload(config::parse_config(config, [](const char*) { return nullptr; }));
-  ASSERT_TRUE(until([&] { return !other.targets.empty(); }));
-  EXPECT_EQ(ask(text("write")).body(), "old");
+  ASSERT_TRUE(until([&] { return !other.request_targets.empty(); }));
+  EXPECT_EQ(send_request(request_text("write")).body(), "old");
   other.failing = false;
-  ASSERT_TRUE(until([&] { return !other.held.empty(); })) << "the whole list, then a watch";
-  EXPECT_TRUE(until([&] { return discovery.held.front()->closed_by_peer; }))
+  ASSERT_TRUE(until([&] { return !other.pending_watches.empty(); }))
+      << "the whole list, then a watch";
+  EXPECT_TRUE(until([&] { return discovery.pending_watches.front()->closed_by_peer; }))
       << "the old one is left";
-  EXPECT_EQ(ask(text("write")).body(), "new");
+  EXPECT_EQ(send_request(request_text("write")).body(), "new");
 }
 
 TEST_F(GatewayTest, ReloadWorksAfterOldDiscoveryEnds) {
-  add_host("a", always(answer_text(200, "", "old")));
+  add_host("a", always_reply(response_text(200, "", "old")));
   start();
-  ASSERT_TRUE(until([&] { return !discovery.held.empty(); }));
+  ASSERT_TRUE(until([&] { return !discovery.pending_watches.empty(); }));
   Peer silent(io, nullptr);
   config["discovery"] = text_of(silent.endpoint);
   gateway->reload(config::parse_config(config, [](const char*) { return nullptr; }));
   ASSERT_TRUE(until([&] { return silent.requests.size() == 1; }));
-  discovery.held.front()->close();
-  EXPECT_EQ(ask(text("write")).body(), "old");
+  discovery.pending_watches.front()->close();
+  EXPECT_EQ(send_request(request_text("write")).body(), "old");
   EXPECT_EQ(silent.requests.size(), 1u) << "the call under way is not given up for it";
   silent.connections.front()->reply(
-      answer_text(200, "", json{{"rev", 7}, {"all", true}, {"targets", discovery.list}}.dump()));
+      response_text(200, "", json{{"rev", 7}, {"all", true}, {"targets", discovery.list}}.dump()));
   EXPECT_TRUE(until([&] { return silent.requests.size() == 2; })) << "and its watch begins";
 }
 
--- a/tests/gateway/program_test.cpp
+++ b/tests/gateway/program_test.cpp
@@ -102,7 +102,7 @@
     tcp::socket socket(io);
     const tcp::endpoint at = discovery::parse_endpoint(address);
     error_code ec = asio::error::not_connected;
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
     while (ec && std::chrono::steady_clock::now() < end) {
       socket.close();
       socket.connect(at, ec);
@@ -139,7 +139,7 @@
   kill(pid, SIGHUP);
   bool called = false;
   discovery.async_accept([&](error_code ec, tcp::socket) { called = !ec; });
-  io.run_for(kPatience);  // ends at the first call
+  io.run_for(kWaitTimeout);  // ends at the first call
   EXPECT_TRUE(called) << "the one that the new file names";
   write("{");
   kill(pid, SIGHUP);
@@ -183,7 +183,7 @@
   void prepare() override {
     discovery.bind(loopback());
     host =
-        std::make_unique<Peer>(io, [](PeerConnection& c) { c.reply(answer_text(200, "", "x")); });
+        std::make_unique<Peer>(io, [](PeerConnection& c) { c.reply(response_text(200, "", "x")); });
     config["discovery"] = text_of(discovery.local_endpoint());
     config["name"] = "crowded";  // a state of its own
     config["limits"]["sockets"] = kDescriptors;
@@ -212,7 +212,7 @@
     const std::filesystem::directory_iterator end;
     return static_cast<rlim_t>(std::distance(open, end));
   };
-  const auto until = std::chrono::steady_clock::now() + kPatience;
+  const auto until = std::chrono::steady_clock::now() + kWaitTimeout;
   while (open_descriptors() < kDescriptors / 2 && std::chrono::steady_clock::now() < until) {
     std::this_thread::yield();
   }
@@ -227,7 +227,7 @@
     }
     call1 = std::make_shared<PeerConnection>(std::move(socket), [&](PeerConnection& c) {
       if (++calls == 1) {
-        c.reply(answer_text(
+        c.reply(response_text(
             200, "",
             json{{"rev", 7}, {"all", true}, {"targets", {target("s-1", host->endpoint)}}}.dump()));
       }
@@ -271,7 +271,7 @@
   };
   // The answer at an operators' address, asked for until it is the one.
   const auto becomes = [&](const std::string& address, const std::string& call, unsigned status) {
-    const auto end = std::chrono::steady_clock::now() + kPatience;
+    const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
     while (std::chrono::steady_clock::now() < end) {
       tcp::socket socket(io);
       error_code ec;
--- a/tests/gateway/races_test.cpp
+++ b/tests/gateway/races_test.cpp
@@ -44,7 +44,7 @@
       connections_.push_back(
           std::make_shared<PeerConnection>(std::move(socket), [this](PeerConnection& c) {
             requests.push_back(c.request);
-            c.reply(answer_text(200, "", "late"));
+            c.reply(response_text(200, "", "late"));
           }));
       connections_.back()->read();
       accept();
@@ -64,7 +64,7 @@
         }) {}
   void answer(std::size_t call, int version, bool whole, const json& hosts) {
     calls[call]->reply(
-        answer_text(200, "", json{{"rev", version}, {"all", whole}, {"targets", hosts}}.dump()));
+        response_text(200, "", json{{"rev", version}, {"all", whole}, {"targets", hosts}}.dump()));
   }
   Peer peer;
   std::vector<std::shared_ptr<PeerConnection>> calls;
@@ -77,11 +77,11 @@
   void start_with(LateHost& late) {
     discovery.list = {target("s-late", late.endpoint())};
     start();
-    ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+    ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   }
   void add_two_hosts() {  // that answer with their numbers
     for (const char* number : {"0", "1"}) {
-      add_host("a", always(answer_text(200, "", number)));
+      add_host("a", always_reply(response_text(200, "", number)));
     }
   }
   // The two hosts are known by this version, and discovery is the scripted one.
@@ -117,43 +117,43 @@
   std::shared_ptr<PeerConnection> pending;
   add_host("a", [&](PeerConnection& c, std::size_t) { pending = c.shared_from_this(); });
   start();
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   auto c = client();
   const auto sent = Clock::now();
-  c->send(text("put"));
+  c->send(request_text("put"));
   ASSERT_TRUE(until([&] { return pending != nullptr; }));
   discovery.push({{"all", false}, {"targets", {target("s-late", late.endpoint())}}});
   ASSERT_TRUE(until([&] { return gateway->hosts() == 2; }));
   pending->reset();
-  ASSERT_TRUE(until([&] { return !c->answers.empty() || Clock::now() - sent > 1500ms; }));
+  ASSERT_TRUE(until([&] { return !c->responses.empty() || Clock::now() - sent > 1500ms; }));
   late.let();
-  ASSERT_TRUE(until([&] { return !c->answers.empty(); }));
-  EXPECT_EQ(c->answers[0].result_int(), 502u) << "it may have run, and may not run again";
+  ASSERT_TRUE(until([&] { return !c->responses.empty(); }));
+  EXPECT_EQ(c->responses[0].result_int(), 502u) << "it may have run, and may not run again";
   EXPECT_TRUE(late.requests.empty());
   EXPECT_TRUE(until([&] { return only_clients_left(1); }));
 }
 
 TEST_F(RaceTest, DoesNotBeginAtHostRemovedWhileConnecting) {
-  add_host("a", always(answer_text(200, "", "other")));
+  add_host("a", always_reply(response_text(200, "", "other")));
   for (const bool whole : {false, true}) {
     SCOPED_TRACE(whole ? "a whole list leaves it out" : "it drains");
     LateHost late(io);
     start_with(late);
     auto c = client();
-    c->send(text("write"));
+    c->send(request_text("write"));
     ASSERT_TRUE(until([&] { return gateway->active_requests() == 1; }));
     if (whole) {
       discovery.push({{"all", true}, {"targets", {serving(0)}}});
     } else {
       discovery.push({{"all", false}, {"targets", {serving(0), draining(late)}}});
     }
-    ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+    ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
     late.let();
-    ASSERT_TRUE(until([&] { return !c->answers.empty(); }));
-    EXPECT_EQ(c->answers[0].body(), "other");
+    ASSERT_TRUE(until([&] { return !c->responses.empty(); }));
+    EXPECT_EQ(c->responses[0].body(), "other");
     EXPECT_TRUE(late.requests.empty());
     gateway.reset();
-    discovery.held.clear();
+    discovery.pending_watches.clear();
     config.erase("known");
   }
 }
@@ -166,47 +166,47 @@
       if (n == 0) {
         pending = c.shared_from_this();
       } else {
-        c.reply(answer_text(200, "", "x"));
+        c.reply(response_text(200, "", "x"));
       }
     });
   }
   start();
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   auto c = client();
-  c->send(text("read"));
+  c->send(request_text("read"));
   ASSERT_TRUE(until([&] { return pending != nullptr; }));
-  const auto first = static_cast<std::size_t>(reached[0].back() - '0');
+  const auto first = static_cast<std::size_t>(attempted_hosts[0].back() - '0');
   const std::size_t drains = (first + 1) % 3;
   const std::size_t left = (first + 2) % 3;
   discovery.push(
       {{"all", false},
        {"targets",
         {target("s-" + std::to_string(drains), hosts[drains]->endpoint, "a", "DRAINING")}}});
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   pending->reset();
-  ASSERT_TRUE(until([&] { return !c->answers.empty(); }));
-  EXPECT_EQ(c->answers[0].result_int(), 200u);
-  EXPECT_EQ(reached.back(), "s-" + std::to_string(left));
+  ASSERT_TRUE(until([&] { return !c->responses.empty(); }));
+  EXPECT_EQ(c->responses[0].result_int(), 200u);
+  EXPECT_EQ(attempted_hosts.back(), "s-" + std::to_string(left));
 }
 
 // The same while a body is uploaded whose head has not been sent.
 TEST_F(RaceTest, ReroutesUnsentUploadWhenHostDrains) {
   LateHost late(io);
-  add_host("a", always(answer_text(200, "", "other")));
+  add_host("a", always_reply(response_text(200, "", "other")));
   start_with(late);
   auto c = client();
   const std::string half(80 << 10, 'x');
-  std::string head = text("write");
+  std::string head = request_text("write");
   head.replace(head.find("Content-Length: 0"), 17,
                "Content-Length: " + std::to_string(2 * half.size()));
   c->send(head + half);
   ASSERT_TRUE(until([&] { return gateway->active_requests() == 1; }));
   discovery.push({{"all", false}, {"targets", {serving(0), draining(late)}}});
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   late.let();
   c->send(half);
-  ASSERT_TRUE(until([&] { return !c->answers.empty(); }));
-  EXPECT_EQ(c->answers[0].body(), "other");
+  ASSERT_TRUE(until([&] { return !c->responses.empty(); }));
+  EXPECT_EQ(c->responses[0].body(), "other");
   EXPECT_TRUE(late.requests.empty());
 }
 
@@ -215,7 +215,7 @@
   start_with(late);
   auto c = client();
   const auto sent = Clock::now();
-  c->send(text("read", "X-Deadline-Ms: 9000\r\n"));
+  c->send(request_text("read", "X-Deadline-Ms: 9000\r\n"));
   ASSERT_TRUE(until([&] { return gateway->active_requests() == 1; }));
   late.let();  // the system dials again after a second
   ASSERT_TRUE(until([&] { return !late.requests.empty(); }));
@@ -232,21 +232,21 @@
   start();
   for (const std::size_t ahead : {std::size_t{20}, std::size_t{100} << 10}) {
     SCOPED_TRACE(ahead);
-    const std::size_t before = reached.size();
+    const std::size_t before = attempted_hosts.size();
     std::string next;
     while (next.size() < ahead) {
-      next += text("read");
+      next += request_text("read");
     }
     next.resize(ahead);
     auto c = client();
-    c->send(text("read") + next);
-    ASSERT_TRUE(until([&] { return reached.size() == before + 1; }));
+    c->send(request_text("read") + next);
+    ASSERT_TRUE(until([&] { return attempted_hosts.size() == before + 1; }));
     after(150ms);  // what there is room for has been read
     c->close();
     const auto closed = Clock::now();
     ASSERT_TRUE(until([&] { return hosts[0]->connections.back()->closed_by_peer; }));
     EXPECT_LT(Clock::now() - closed, 5s) << "by its close, not by its deadline";
-    EXPECT_EQ(reached.size(), before + 1) << "nor is what it sent ahead passed on";
+    EXPECT_EQ(attempted_hosts.size(), before + 1) << "nor is what it sent ahead passed on";
     EXPECT_EQ(gateway->active_requests(), 0u);
   }
 }
@@ -261,7 +261,7 @@
   discovery.list.push_back(target("s-0", host.local_endpoint()));
   start();
   auto c = client();
-  std::string head = text("write");
+  std::string head = request_text("write");
   head.replace(head.find("Content-Length: 0"), 17, "Content-Length: 16000000");
   c->send(head + std::string(280 << 10,
                              'x'));  // more than is buffered on the way, less than delays the close
@@ -281,7 +281,7 @@
   LateHost late(io);
   start_with(late);
   auto c = client();
-  c->send(text("write"));
+  c->send(request_text("write"));
   ASSERT_TRUE(until([&] { return gateway->active_requests() == 1; }));
   c->close();
   late.let();
@@ -292,16 +292,16 @@
 
 // The request lay in the socket while its client gave up: the close is there when it is read.
 TEST_F(RaceTest, DoesNotBeginForClientDisconnectedBeforeRead) {
-  two_hosts(always(answer_text(200, "", "x")));
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  start_with_two_hosts(always_reply(response_text(200, "", "x")));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   {
     tcp::socket socket(io);
     socket.connect(gateway->listening());
-    asio::write(socket, asio::buffer(text("write") + text("read")));
+    asio::write(socket, asio::buffer(request_text("write") + request_text("read")));
   }  // closed before the loop runs
   ASSERT_TRUE(until([&] { return gateway->connections() == 1; })) << "taken";
   ASSERT_TRUE(until([&] { return gateway->connections() == 0; }));
-  EXPECT_TRUE(reached.empty());
+  EXPECT_TRUE(attempted_hosts.empty());
   EXPECT_EQ(gateway->active_requests(), 0u);
 }
 
@@ -309,13 +309,14 @@
 TEST_F(RaceTest, DoesNotRetryForClientDisconnectedInSameTurn) {
   ceilings()["cancel"] = false;
   std::vector<std::shared_ptr<PeerConnection>> pending;
-  two_hosts([&](PeerConnection& c, std::size_t) { pending.push_back(c.shared_from_this()); });
+  start_with_two_hosts(
+      [&](PeerConnection& c, std::size_t) { pending.push_back(c.shared_from_this()); });
   for (const bool close_first : {true, false}) {
     SCOPED_TRACE(close_first);
     pending.clear();
-    reached.clear();
+    attempted_hosts.clear();
     auto c = client();
-    c->send(text("read"));
+    c->send(request_text("read"));
     ASSERT_TRUE(until([&] { return pending.size() == 1; }));
     if (close_first) {
       c->close();
@@ -325,9 +326,9 @@
       c->close();
     }
     ASSERT_TRUE(until([&] { return gateway->active_requests() == 0; }));
-    EXPECT_EQ(reached.size(), 1u);
+    EXPECT_EQ(attempted_hosts.size(), 1u);
     after(20ms);
-    EXPECT_EQ(reached.size(), 1u);
+    EXPECT_EQ(attempted_hosts.size(), 1u);
   }
 }
 
@@ -336,31 +337,32 @@
   ceilings()["cancel"] = false;
   ceilings()["parallelTries"] = true;
   std::vector<std::shared_ptr<PeerConnection>> pending;
-  two_hosts([&](PeerConnection& c, std::size_t) { pending.push_back(c.shared_from_this()); });
+  start_with_two_hosts(
+      [&](PeerConnection& c, std::size_t) { pending.push_back(c.shared_from_this()); });
   for (int i = 0; i < 4; ++i) {  // answers usually take 40 ms: a copy is due after 100
     auto c = client();
-    c->send(text("read"));
+    c->send(request_text("read"));
     ASSERT_TRUE(until([&] { return !pending.empty(); }));
     after(40ms);
-    pending.front()->reply(answer_text(200, "", "x"));
-    ASSERT_TRUE(until([&] { return c->answers.size() == 1; }));
+    pending.front()->reply(response_text(200, "", "x"));
+    ASSERT_TRUE(until([&] { return c->responses.size() == 1; }));
     pending.clear();
   }
   for (const bool leaves : {true, false}) {
     SCOPED_TRACE(leaves);
-    const std::size_t before = reached.size();
+    const std::size_t before = attempted_hosts.size();
     auto c = client();
-    c->send(text("read"));
-    ASSERT_TRUE(until([&] { return reached.size() == before + 1; }));
+    c->send(request_text("read"));
+    ASSERT_TRUE(until([&] { return attempted_hosts.size() == before + 1; }));
     if (leaves) {
       c->close();
       after(600ms);
-      EXPECT_EQ(reached.size(), before + 1);
+      EXPECT_EQ(attempted_hosts.size(), before + 1);
     } else {
-      EXPECT_TRUE(until([&] { return reached.size() == before + 2; }));
+      EXPECT_TRUE(until([&] { return attempted_hosts.size() == before + 2; }));
     }
     for (auto& h : std::exchange(pending, {})) {
-      h->reply(answer_text(200, "", "x"));
+      h->reply(response_text(200, "", "x"));
     }
     ASSERT_TRUE(until([&] { return gateway->active_requests() == 0; }));
   }
@@ -393,13 +395,13 @@
 // Its request arrives in the moment in which its connection is shut: read out, not reset over, not
 // passed on.
 TEST_F(RaceTest, NeitherResetsNorForwardsRequestCrossingIdleClose) {
-  two_hosts(always(answer_text(200, "", "x")));
+  start_with_two_hosts(always_reply(response_text(200, "", "x")));
   RawClient c(io, gateway->listening());
   c.read();
-  c.send(text("read"));
+  c.send(request_text("read"));
   ASSERT_TRUE(until([&] { return c.got.find("\r\n\r\nx") != std::string::npos; }));
-  const std::size_t before = reached.size();
-  const std::string next = text("write");
+  const std::size_t before = attempted_hosts.size();
+  const std::string next = request_text("write");
   error_code late_write;
   error_code reset;
   bool done = false;
@@ -419,7 +421,7 @@
   EXPECT_FALSE(heard) << "its connection was reset";
   c.socket.close();
   EXPECT_TRUE(until([&] { return done; }));
-  EXPECT_EQ(reached.size(), before);
+  EXPECT_EQ(attempted_hosts.size(), before);
 }
 
 // Pipelined requests that were read before the stop are answered; none is aborted.
@@ -429,18 +431,18 @@
     if (n == 0) {
       pending = c.shared_from_this();
     } else {
-      c.reply(answer_text(200, "", "n" + std::to_string(n)));
+      c.reply(response_text(200, "", "n" + std::to_string(n)));
     }
   });
   start();
   RawClient c(io, gateway->listening());
   c.read();
-  c.send(text("write") + text("read") + text("write"));
+  c.send(request_text("write") + request_text("read") + request_text("write"));
   ASSERT_TRUE(until([&] { return pending != nullptr; }));
   after(20ms);  // all three are read
   bool done = false;
   gateway->stop([&] { done = true; });
-  pending->reply(answer_text(200, "", "first"));
+  pending->reply(response_text(200, "", "first"));
   ASSERT_TRUE(until([&] { return bool(c.ended); }));
   EXPECT_EQ(c.ended, asio::error::eof);
   for (const char* body : {"first", "n1", "n2"}) {
@@ -455,11 +457,11 @@
 // Half a request is here at the stop, and the client goes on sending after its answer: all is
 // answered that was taken, and what comes behind the end disturbs nobody.
 TEST_F(RaceTest, ServesPartialRequestAtStopAndDiscardsFollowingInput) {
-  add_host("a", always(answer_text(200, "", "whole")));
+  add_host("a", always_reply(response_text(200, "", "whole")));
   start();
   RawClient c(io, gateway->listening());
   c.read();
-  const std::string request = text("write", "", "0123456789");
+  const std::string request = request_text("write", "", "0123456789");
   c.send(request.substr(0, request.size() - 5));
   after(20ms);
   bool done = false;
@@ -467,13 +469,13 @@
   c.send(request.substr(request.size() - 5));
   ASSERT_TRUE(until([&] { return c.got.find("whole") != std::string::npos; }));
   for (int i = 0; i < 3; ++i) {
-    c.send(text("write"));
+    c.send(request_text("write"));
   }
   ASSERT_TRUE(until([&] { return bool(c.ended); }));
   EXPECT_EQ(c.ended, asio::error::eof) << "no reset over its answer";
   c.socket.close();
   EXPECT_TRUE(until([&] { return done; }));
-  EXPECT_EQ(reached.size(), 1u);
+  EXPECT_EQ(attempted_hosts.size(), 1u);
 }
 
 // At the limit of connections, those that wait to be accepted when the listener closes hold
@@ -487,7 +489,7 @@
   for (int i = 0; i < 8; ++i) {
     clients.push_back(std::make_unique<RawClient>(io, gateway->listening()));
     clients.back()->read();
-    clients.back()->send(text("write"));
+    clients.back()->send(request_text("write"));
   }
   ASSERT_TRUE(until([&] { return pending.size() == 5; })) << "one over the limit";
   bool done = false;
@@ -495,7 +497,7 @@
   after(750ms);  // the stop comes to its listener, and there is no room
   EXPECT_EQ(pending.size(), 5u);
   for (auto& c : pending) {
-    c->reply(answer_text(200, "", "ok"));
+    c->reply(response_text(200, "", "ok"));
   }
   for (auto& c : clients) {
     c->on_end = [&socket = c->socket] {
@@ -505,7 +507,7 @@
   std::size_t replied = pending.size();
   ASSERT_TRUE(until([&] {
     for (; replied < pending.size(); ++replied) {
-      pending[replied]->reply(answer_text(200, "", "ok"));
+      pending[replied]->reply(response_text(200, "", "ok"));
     }
     return done;
   }));
@@ -535,7 +537,7 @@
   for (int i = 0; i < 3; ++i) {
     clients.push_back(std::make_unique<RawClient>(io, server.listening()));
     clients.back()->read();
-    clients.back()->send(text("write"));
+    clients.back()->send(request_text("write"));
     clients.back()->on_end = [&socket = clients.back()->socket] {
       socket.close();
     };
@@ -572,7 +574,7 @@
   scripted.answer(0, 2, false, json::array({target("s-0", hosts[0]->endpoint, "a", "DRAINING")}));
   ASSERT_TRUE(until([&] { return scripted.calls[0]->closed_by_peer; }));
   for (int i = 0; i < 6; ++i) {
-    EXPECT_EQ(ask(text("read")).body(), "1");
+    EXPECT_EQ(send_request(request_text("read")).body(), "1");
   }
   scripted.answer(1, 2, false, json::array());
   ASSERT_TRUE(until([&] { return scripted.calls.size() >= 3; }));
@@ -586,7 +588,7 @@
   void lose_the_first_call(std::chrono::milliseconds another_within) {
     add_two_hosts();
     start();
-    ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+    ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
     ScriptedDiscovery moved(io);
     config["discovery"] = text_of(moved.peer.endpoint);
     const auto began = Clock::now();
@@ -595,9 +597,9 @@
     EXPECT_LT(Clock::now() - began, another_within);
     EXPECT_EQ(moved.targets[1], "/discovery/hosts");
     moved.answer(1, 1, true, json::array({target("s-1", hosts[1]->endpoint)}));
-    ASSERT_TRUE(until([&] { return discovery.held[0]->closed_by_peer; }));
+    ASSERT_TRUE(until([&] { return discovery.pending_watches[0]->closed_by_peer; }));
     for (int i = 0; i < 6; ++i) {
-      EXPECT_EQ(ask(text("read")).body(), "1") << "what it leaves out is gone";
+      EXPECT_EQ(send_request(request_text("read")).body(), "1") << "what it leaves out is gone";
     }
   }
 };
@@ -617,7 +619,7 @@
 TEST_F(RaceTest, TwoReloadsDuringOnePollUseLastDiscovery) {
   add_two_hosts();
   start();
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   ScriptedDiscovery first(io);
   ScriptedDiscovery last(io);
   for (ScriptedDiscovery* d : {&first, &last}) {
@@ -632,7 +634,7 @@
   last.answer(0, 1, true, json::array({target("s-1", hosts[1]->endpoint)}));
   ASSERT_TRUE(until([&] { return last.calls.size() == 2; }));
   for (int i = 0; i < 6; ++i) {
-    EXPECT_EQ(ask(text("read")).body(), "1");
+    EXPECT_EQ(send_request(request_text("read")).body(), "1");
   }
 }
 
@@ -651,7 +653,7 @@
   scripted.answer(1, 41, false, json::array({target("s-0", hosts[0]->endpoint)}));
   ASSERT_TRUE(until([&] { return scripted.calls[1]->closed_by_peer; }));
   for (int i = 0; i < 12; ++i) {
-    EXPECT_EQ(ask(text("read")).body(), "1");
+    EXPECT_EQ(send_request(request_text("read")).body(), "1");
   }
 }
 
@@ -675,10 +677,10 @@
   };
   std::size_t call = 1;
   const std::array<std::function<void(std::string)>, 5> forms{
-      [&](std::string text) { scripted.calls[call]->reply(answer_text(200, "", text)); },
+      [&](std::string text) { scripted.calls[call]->reply(response_text(200, "", text)); },
       [&](std::string text) { scripted.calls[call]->reply(in_chunks(text, 1)); },
       [&](std::string text) {
-        scripted.calls[call]->reply(answer_text(200, "Connection: close\r\n", text), true);
+        scripted.calls[call]->reply(response_text(200, "Connection: close\r\n", text), true);
       },
       [&](std::string text) {
         scripted.calls[call]->reply("HTTP/1.1 200 OK\r\n\r\n" + text, true);
@@ -698,7 +700,7 @@
     EXPECT_NE(scripted.targets[call].find("since=" + std::to_string(i + 2) + "&"),
               std::string::npos);
     for (int n = 0; n < 3; ++n) {
-      EXPECT_EQ(ask(text("read")).body(), std::to_string(serves));
+      EXPECT_EQ(send_request(request_text("read")).body(), std::to_string(serves));
     }
   }
   for (const bool half : {false, true}) {  // it ends at once, or in the middle of telling
@@ -720,7 +722,7 @@
 // hosts stay.
 TEST_F(RaceTest, TreatsOversizedDiscoveryResponseAsFailure) {
   ScriptedDiscovery scripted(io);
-  add_host("a", always(answer_text(200, "", "x")));
+  add_host("a", always_reply(response_text(200, "", "x")));
   discovery.peer.endpoint = scripted.peer.endpoint;
   start();
   std::string long_head = "HTTP/1.1 200 OK\r\n";
@@ -730,16 +732,16 @@
   const std::string blanks(6 << 20, ' ');
   std::size_t call = 0;
   for (const std::string& flood :
-       {answer_text(200, "", blanks),
+       {response_text(200, "", blanks),
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n600000\r\n" + blanks, long_head,
         std::string("\x16\x03\x01noise\r\n\r\n"),
-        answer_text(200, "",
-                    json{{"rev", 2}, {"all", true}, {"targets", {{{"uid", 7}}}}}.dump())}) {
+        response_text(200, "",
+                      json{{"rev", 2}, {"all", true}, {"targets", {{{"uid", 7}}}}}.dump())}) {
     ASSERT_TRUE(until([&] { return scripted.calls.size() == call + 1; }));
     scripted.calls[call]->reply(flood);
     ASSERT_TRUE(until(
         [&] { return scripted.calls[call]->closed_by_peer || scripted.calls.size() > call + 1; }));
-    EXPECT_EQ(ask(text("read")).result_int(), 200u);
+    EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
     ++call;
   }
 }
@@ -751,22 +753,22 @@
     if (n == 0) {
       pending = c.shared_from_this();
     } else {
-      c.reply(answer_text(200, "", "x"));
+      c.reply(response_text(200, "", "x"));
     }
   });
   start();
   std::string flood;
   for (int i = 0; i < 800; ++i) {
-    flood += text("read");
+    flood += request_text("read");
   }
   auto c = client();
   c->send(flood);
   ASSERT_TRUE(until([&] { return pending != nullptr; }));
-  EXPECT_EQ(ask(text("write")).result_int(), 200u);
-  pending->reply(answer_text(200, "", "x"));
-  ASSERT_TRUE(until([&] { return c->answers.size() == 800; }))
+  EXPECT_EQ(send_request(request_text("write")).result_int(), 200u);
+  pending->reply(response_text(200, "", "x"));
+  ASSERT_TRUE(until([&] { return c->responses.size() == 800; }))
       << "and all of them are, in their turn";
-  for (const Response& r : c->answers) {
+  for (const Response& r : c->responses) {
     EXPECT_EQ(r.result_int(), 200u);
   }
 }
@@ -775,14 +777,15 @@
 TEST_F(RaceTest, AlsoPollsWhereListsArePushed) {
   config["settings"]["registryMode"] = "push";
   config["settings"]["rules"].erase("askWithinNs");
-  two_hosts(always(answer_text(200, "", "x")));
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  start_with_two_hosts(always_reply(response_text(200, "", "x")));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   discovery.push({{"all", true}, {"targets", {target("s-1", hosts[1]->endpoint)}}});
-  ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
+  ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   for (int i = 0; i < 6; ++i) {
-    EXPECT_EQ(ask(text("read")).result_int(), 200u);
+    EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
   }
-  EXPECT_EQ(std::set<std::string>(reached.begin(), reached.end()), std::set<std::string>{"s-1"});
+  EXPECT_EQ(std::set<std::string>(attempted_hosts.begin(), attempted_hosts.end()),
+            std::set<std::string>{"s-1"});
 }
 
 }  // namespace
--- a/tests/gateway/stream_test.cpp
+++ b/tests/gateway/stream_test.cpp
@@ -143,9 +143,9 @@
   c->send(body.substr(200'000));
   ASSERT_TRUE(until([&] { return h->body_size() == body.size(); }));
   EXPECT_EQ(h->body(), body);
-  h->send(answer_text(200, "", "done"));
+  h->send(response_text(200, "", "done"));
   ASSERT_TRUE(until([&] { return c->has("done"); }));
-  c->send(text("read"));
+  c->send(request_text("read"));
   ASSERT_TRUE(until([&] { return h->has("GET /read"); })) << "both connections are kept";
 }
 
@@ -157,7 +157,7 @@
   auto h = asked();
   ASSERT_TRUE(until([&] { return h->body_size() == body.size(); }));
   EXPECT_TRUE(h->body() == body);
-  h->send(answer_text(200, "", body));
+  h->send(response_text(200, "", body));
   ASSERT_TRUE(until([&] { return c->body_size() == body.size(); }));
   EXPECT_TRUE(c->body() == body);
 }
@@ -183,18 +183,18 @@
   error_code ec;
   parser.put(asio::buffer(h->received), ec);
   EXPECT_EQ(parser.get().body(), body);
-  h->send(answer_text(200, "", "done"));
+  h->send(response_text(200, "", "done"));
   EXPECT_TRUE(until([&] { return c->has("done"); }));
 }
 
 TEST_F(StreamTest, AcceptsShortBodyWithTrailers) {
-  add_host("a", always(answer_text(200, "", "x")));
+  add_host("a", always_reply(response_text(200, "", "x")));
   start();
   auto c = client();
   c->send(head_of("write", "Transfer-Encoding: chunked\r\nTrailer: X-Sum\r\n") +
           "3\r\nabc\r\n0\r\nX-Sum: 1\r\n\r\n");
-  ASSERT_TRUE(until([&] { return !c->answers.empty(); }));
-  EXPECT_EQ(c->answers[0].result_int(), 200u);
+  ASSERT_TRUE(until([&] { return !c->responses.empty(); }));
+  EXPECT_EQ(c->responses[0].result_int(), 200u);
   EXPECT_EQ(hosts[0]->requests.at(0).body(), "abc");
   EXPECT_EQ(hosts[0]->requests.at(0).count("X-Sum"), 0u);
 }
@@ -243,7 +243,7 @@
   raw_host();
   auto c = begun_upload();
   auto h = asked();
-  h->send(answer_text(503, "X-Not-Run: 1\r\n", ""));
+  h->send(response_text(503, "X-Not-Run: 1\r\n", ""));
   ASSERT_TRUE(until([&] { return c->has("503"); }));
   EXPECT_TRUE(until([&] { return h->closed; }));
 }
@@ -277,7 +277,7 @@
 }
 
 TEST_F(StreamTest, DoesNotCloseConnectionWithFirstRequestOnItsWay) {
-  add_host("a", always(answer_text(200, "", "done")));
+  add_host("a", always_reply(response_text(200, "", "done")));
   start();
   auto c = raw();
   c->send(head_of("write", "Content-Length: 4\r\nExpect: 100-continue\r\n"));
@@ -316,7 +316,7 @@
   ASSERT_TRUE(until([&] { return h->body() == "0123456789"; }));
   c->send("0123456789");
   ASSERT_TRUE(until([&] { return h->body_size() == 20; }));
-  h->send(answer_text(200, "", "done"));
+  h->send(response_text(200, "", "done"));
   EXPECT_TRUE(until([&] { return c->has("done"); }));
 }
 
@@ -325,7 +325,7 @@
 TEST_F(StreamTest, StreamsLongResponseAndAbortsIncompleteOne) {
   raw_host();
   auto c = raw();
-  c->send(text("read"));
+  c->send(request_text("read"));
   auto h = asked();
   h->send("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\nX-Load: TEXT util=0.5\r\n\r\n" +
           pattern(100));
@@ -341,14 +341,14 @@
 TEST_F(StreamTest, ChunksResponseOfUnknownLength) {
   raw_host();
   auto c = raw();
-  c->send(text("read"));
+  c->send(request_text("read"));
   auto h = asked();
   h->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
   ASSERT_TRUE(until([&] { return c->has("abc"); })) << "before the rest is there";
   h->send("2\r\nde\r\n0\r\nX-Sum: 1\r\n\r\n");
   ASSERT_TRUE(until([&] { return c->has("0\r\n\r\n"); }));
   EXPECT_FALSE(c->has("X-Sum"));
-  c->send(text("read"));
+  c->send(request_text("read"));
   ASSERT_TRUE(until([&] { return h->received.rfind("GET /read") > 10; }))
       << "both connections are kept";
 }
@@ -356,7 +356,7 @@
 TEST_F(StreamTest, AbortedChunkedResponseHasNoLastChunk) {
   raw_host();
   auto c = raw();
-  c->send(text("read"));
+  c->send(request_text("read"));
   auto h = asked();
   h->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
   ASSERT_TRUE(until([&] { return c->has("abc"); }));
@@ -372,10 +372,10 @@
   start();
   auto c = client();
   for (std::size_t i = 0; i < 3; ++i) {
-    c->send(text("read"));
-    ASSERT_TRUE(until([&] { return c->answers.size() == i + 1; }))
+    c->send(request_text("read"));
+    ASSERT_TRUE(until([&] { return c->responses.size() == i + 1; }))
         << "the client's connection is kept";
-    EXPECT_EQ(c->answers[i].body(), "whole");
+    EXPECT_EQ(c->responses[i].body(), "whole");
   }
 }
 
@@ -385,7 +385,7 @@
     c.reply("HTTP/1.0 200 OK\r\n\r\n" + body, true);
   });
   start();
-  EXPECT_EQ(ask(text("read")).body(), body);
+  EXPECT_EQ(send_request(request_text("read")).body(), body);
   auto old = raw();
   old->send("GET /read HTTP/1.0\r\nX-Request-Id: old\r\n\r\n");
   ASSERT_TRUE(until([&] { return old->closed; }));
@@ -397,10 +397,10 @@
   raw_host();
   auto c = raw();
   c->paused = true;
-  c->send(text("read"));
+  c->send(request_text("read"));
   auto h = asked();
   const std::string body = pattern(20'000'000);
-  h->send(answer_text(200, "", body));
+  h->send(response_text(200, "", body));
   std::size_t pending = 0;
   std::size_t same = 0;
   ASSERT_TRUE(until([&] {
@@ -418,9 +418,9 @@
   raw_host();
   auto c = raw();
   c->paused = true;
-  c->send(text("read"));
+  c->send(request_text("read"));
   auto h = asked();
-  h->send(answer_text(200, "", std::string(20'000'000, 'x')));
+  h->send(response_text(200, "", std::string(20'000'000, 'x')));
   EXPECT_TRUE(until([&] { return h->closed; }));
   EXPECT_TRUE(until([&] { return gateway->connections() == 0; }));
 }
@@ -428,7 +428,7 @@
 TEST_F(StreamTest, EndsResponseWhenClientDisconnects) {
   raw_host();
   auto c = raw();
-  c->send(text("read"));
+  c->send(request_text("read"));
   auto h = asked();
   h->send("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nabc");
   ASSERT_TRUE(until([&] { return c->has("abc"); }));
@@ -453,7 +453,7 @@
 // --- Pieces and pauses ---
 
 TEST_F(StreamTest, SendsContinueToExpectingClient) {
-  add_host("a", always(answer_text(200, "", "done")));
+  add_host("a", always_reply(response_text(200, "", "done")));
   start();
   auto c = raw();
   c->send(head_of("write", "Content-Length: 4\r\nExpect: 100-continue\r\n"));
--- a/tests/load_balancer/bounds_test.cpp
+++ b/tests/load_balancer/bounds_test.cpp
@@ -15,7 +15,7 @@
 }
 
 bool was_sent(const Driver& d, RequestId id) {
-  for (const Sent& s : d.sent) {
+  for (const SentAttempt& s : d.sent) {
     if (s.request == id) {
       return true;
     }
@@ -32,10 +32,10 @@
   const RequestId c = d.request(0, seconds(1), 5);
   EXPECT_TRUE(was_sent(d, a));
   EXPECT_FALSE(was_sent(d, b) || was_sent(d, c));
-  d.serve(Sent(d.out.front()));
+  d.serve(SentAttempt(d.in_flight.front()));
   EXPECT_TRUE(was_sent(d, b));
   EXPECT_FALSE(was_sent(d, c));
-  d.serve(Sent(d.out.front()));
+  d.serve(SentAttempt(d.in_flight.front()));
   EXPECT_TRUE(was_sent(d, c));
 }
 
@@ -58,7 +58,7 @@
     Driver d(s);
     d.request(1, seconds(1), 5);
     const RequestId next = d.request(1, seconds(1), 5);
-    d.settle(Sent(d.out.front()), outcome, outcome == AttemptOutcome::success);
+    d.report_result(SentAttempt(d.in_flight.front()), outcome, outcome == AttemptOutcome::success);
     const bool unsure = outcome == AttemptOutcome::timeout || outcome == AttemptOutcome::reset ||
                         outcome == AttemptOutcome::cancelled;
     EXPECT_EQ(was_sent(d, next), !unsure) << static_cast<int>(outcome);
@@ -74,7 +74,7 @@
   s.max_attempts = 1;
   Driver d(s);
   d.request(1, seconds(1), 5);
-  d.settle(Sent(d.out.front()), AttemptOutcome::reset, false);
+  d.report_result(SentAttempt(d.in_flight.front()), AttemptOutcome::reset, false);
   const RequestId next = d.request(1, seconds(1), 5);
   d.advance(milliseconds(95));
   EXPECT_FALSE(was_sent(d, next));
@@ -85,7 +85,7 @@
 TEST(Order, TheOneWithTheTurnTriesAgainWithoutAWait) {
   Driver d(in_turn_settings());
   const RequestId a = d.request(0, seconds(1), 5);
-  d.settle(Sent(d.out.front()), AttemptOutcome::reset, false);
+  d.report_result(SentAttempt(d.in_flight.front()), AttemptOutcome::reset, false);
   EXPECT_EQ(d.last_sent().request, a);
   EXPECT_EQ(d.last_sent().attempt, 1u);
 }
@@ -98,7 +98,7 @@
   d.collect();
   d.advance(milliseconds(50));
   EXPECT_FALSE(was_sent(d, b));
-  d.settle(Sent(d.out.front()), AttemptOutcome::cancelled, true);
+  d.report_result(SentAttempt(d.in_flight.front()), AttemptOutcome::cancelled, true);
   EXPECT_FALSE(was_sent(d, b));
   d.advance(milliseconds(105));
   EXPECT_TRUE(was_sent(d, b));
@@ -111,7 +111,7 @@
   const RequestId c = d.request(0, seconds(1), 5);
   d.balancer.on_client_disconnected(d.now, b);
   d.collect();
-  d.serve(Sent(d.out.front()));
+  d.serve(SentAttempt(d.in_flight.front()));
   EXPECT_FALSE(was_sent(d, b));
   EXPECT_TRUE(was_sent(d, c));
 }
@@ -122,7 +122,7 @@
   d.request(0, seconds(1), 5);
   const RequestId b = d.request(0, seconds(1), 5);
   d.advance(milliseconds(380));  // aim 400, usual time 100: the first is stuck
-  EXPECT_TRUE(d.refused(b));
+  EXPECT_TRUE(d.rejected(b));
   EXPECT_FALSE(was_sent(d, b));
 }
 
@@ -130,16 +130,16 @@
   Driver d(in_turn_settings());
   d.warm_up(0, 20, milliseconds(100));
   for (int i = 0; i < 3; ++i) {
-    EXPECT_FALSE(d.refused(d.request(0, seconds(1), 5)));
+    EXPECT_FALSE(d.rejected(d.request(0, seconds(1), 5)));
   }
-  EXPECT_TRUE(d.refused(d.request(0, seconds(1), 5)));
+  EXPECT_TRUE(d.rejected(d.request(0, seconds(1), 5)));
 }
 
 TEST(Order, AHeldRequestFindsNoDrainedHost) {
   Driver d(in_turn_settings(), 2);
   d.request(0, seconds(1), 5);
   const RequestId b = d.request(0, seconds(1), 5);
-  const Sent first = d.out.front();
+  const SentAttempt first = d.in_flight.front();
   for (int i = 0; i < 2; ++i) {
     Endpoint e = make_host(i, "east", i % 2);
     if (d.balancer.find_host(e.address) == first.host) {
@@ -176,10 +176,10 @@
   const std::set<HostId> open = {d.host(20), d.host(21)};
   for (int i = 0; i < 60; ++i) {
     d.request(0);
-    while (!d.out.empty()) {
-      EXPECT_TRUE(open.count(d.out.front().host));
-      d.settle(Sent(d.out.front()),
-               i % 2 ? AttemptOutcome::connect_failed : AttemptOutcome::server_error, false);
+    while (!d.in_flight.empty()) {
+      EXPECT_TRUE(open.count(d.in_flight.front().host));
+      d.report_result(SentAttempt(d.in_flight.front()),
+                      i % 2 ? AttemptOutcome::connect_failed : AttemptOutcome::server_error, false);
     }
     d.advance(milliseconds(20));
   }
@@ -193,7 +193,7 @@
     d.request(1);
   }
   ASSERT_FALSE(d.sent.empty());
-  for (const Sent& s : d.sent) {
+  for (const SentAttempt& s : d.sent) {
     EXPECT_EQ(s.host, d.host(22));
   }
 }
@@ -208,7 +208,7 @@
   d.balancer.on_endpoint_update(d.now, EndpointUpdateKind::delta, gone);
   const RequestId bound = d.request(0);
   const RequestId free = d.request(2);
-  EXPECT_TRUE(d.refused(bound));
+  EXPECT_TRUE(d.rejected(bound));
   EXPECT_FALSE(was_sent(d, bound));
   EXPECT_TRUE(was_sent(d, free));
 }
@@ -218,7 +218,7 @@
     Settings s = make_settings();
     s.classes[0].zones = list;
     Driver d(s);
-    EXPECT_TRUE(d.refused(d.request(0)));
+    EXPECT_TRUE(d.rejected(d.request(0)));
     EXPECT_TRUE(d.sent.empty());
   }
 }
--- a/tests/load_balancer/decision_test.cpp
+++ b/tests/load_balancer/decision_test.cpp
@@ -141,16 +141,16 @@
     d.request(0, seconds(1));
   }
   std::map<HostId, int> holds;
-  for (const Sent& s : d.sent) {
+  for (const SentAttempt& s : d.sent) {
     ++holds[s.host];
   }
   std::set<HostId> emptied;
-  for (const Sent& s : std::vector<Sent>(d.sent)) {
+  for (const SentAttempt& s : std::vector<SentAttempt>(d.sent)) {
     if (emptied.size() < 20) {
       emptied.insert(s.host);
     }
     if (emptied.count(s.host)) {
-      d.settle(s, AttemptOutcome::success, true, milliseconds(50));
+      d.report_result(s, AttemptOutcome::success, true, milliseconds(50));
     }
   }
   int to_idle = 0;
@@ -180,7 +180,7 @@
     d.request(0, seconds(1));
   }
   EXPECT_GE(d.sent.size(), 5u);
-  for (const Sent& s : d.sent) {
+  for (const SentAttempt& s : d.sent) {
     EXPECT_GE(d.balancer.address(s.host), make_host(60).address);
   }
 }
@@ -201,7 +201,8 @@
       const std::size_t before = d.sent.size();
       d.request(0, seconds(1), key * 7919);
       first[key] = d.balancer.address(d.sent.at(before).host);
-      d.settle(Sent(d.sent.at(before)), AttemptOutcome::success, true, milliseconds(5));
+      d.report_result(SentAttempt(d.sent.at(before)), AttemptOutcome::success, true,
+                      milliseconds(5));
     }
     return first;
   };
--- a/tests/load_balancer/failures_test.cpp
+++ b/tests/load_balancer/failures_test.cpp
@@ -7,13 +7,13 @@
 // Serves what is due: `time(host)` gives how long a host takes, zero for never.
 template <class F>
 void serve_due(Driver& d, F time) {
-  for (std::size_t k = 0; k < d.out.size();) {
-    const Sent s = d.out[k];
+  for (std::size_t k = 0; k < d.in_flight.size();) {
+    const SentAttempt s = d.in_flight[k];
     const Duration t = time(s.host);
     if (t > Duration{} && d.now - s.at >= t) {
       d.serve(s);
-    } else if (d.now - s.at >= s.limit) {
-      d.settle(s, AttemptOutcome::timeout, false);
+    } else if (d.now - s.at >= s.timeout) {
+      d.report_result(s, AttemptOutcome::timeout, false);
     } else {
       ++k;
     }
@@ -24,14 +24,14 @@
   Driver d(make_settings(), 6);
   d.warm_up(0, 60);
   const HostId bad = d.host(2);
-  d.forget();
+  d.clear_history();
   for (int i = 0; i < 600; ++i) {
     d.request(0);
     d.advance(milliseconds(10));
-    for (std::size_t k = 0; k < d.out.size();) {
-      const Sent s = d.out[k];
+    for (std::size_t k = 0; k < d.in_flight.size();) {
+      const SentAttempt s = d.in_flight[k];
       if (s.host == bad) {
-        d.settle(s, AttemptOutcome::server_error, false);
+        d.report_result(s, AttemptOutcome::server_error, false);
       } else if (d.now - s.at >= milliseconds(30)) {
         d.serve(s);
       } else {
@@ -53,10 +53,10 @@
     for (int i = 0; i < n; ++i) {
       d.request(0);
       d.advance(milliseconds(10));
-      for (std::size_t k = 0; k < d.out.size();) {
-        const Sent s = d.out[k];
+      for (std::size_t k = 0; k < d.in_flight.size();) {
+        const SentAttempt s = d.in_flight[k];
         if (s.host == bad && broken) {
-          d.settle(s, AttemptOutcome::connect_failed, false);
+          d.report_result(s, AttemptOutcome::connect_failed, false);
         } else if (d.now - s.at >= milliseconds(30)) {
           d.serve(s);
         } else {
@@ -68,7 +68,7 @@
   run(300);
   broken = false;
   run(1200);
-  d.forget();
+  d.clear_history();
   run(300);
   EXPECT_GT(d.sent_to(bad) * 12, d.sent.size());
 }
@@ -78,7 +78,7 @@
   d.warm_up(0, 40);
   const HostId lost = d.host(1);
   std::size_t early = 0;
-  d.forget();
+  d.clear_history();
   for (int i = 0; i < 150; ++i) {
     d.request(1);
     d.advance(milliseconds(10));
@@ -94,14 +94,14 @@
 TEST(HealthState, ASilentHostIsPassedOverUnderLoadToo) {
   Driver d(make_settings(), 4);
   d.warm_up(0, 40);
-  while (d.out.empty() || d.last_sent().host != d.host(1)) {
-    while (!d.out.empty()) {
-      d.serve(Sent(d.out.front()));
+  while (d.in_flight.empty() || d.last_sent().host != d.host(1)) {
+    while (!d.in_flight.empty()) {
+      d.serve(SentAttempt(d.in_flight.front()));
     }
     d.request(1);
   }
   d.advance(milliseconds(320));  // far past the usual time, its time limit still to come
-  d.forget();
+  d.clear_history();
   for (int i = 0; i < 12; ++i) {
     d.request(0);
   }
@@ -115,12 +115,12 @@
   for (int i = 0; i < 100; ++i) {
     d.request(0);
     d.advance(milliseconds(20));
-    while (!d.out.empty()) {
-      d.settle(Sent(d.out.front()), AttemptOutcome::server_error, false);
+    while (!d.in_flight.empty()) {
+      d.report_result(SentAttempt(d.in_flight.front()), AttemptOutcome::server_error, false);
     }
   }
   d.warm_up(0, 300, milliseconds(20));
-  d.forget();
+  d.clear_history();
   d.warm_up(0, 100, milliseconds(20));
   for (int i = 0; i < 6; ++i) {
     EXPECT_GT(d.sent_to(d.host(i)), 0u) << i;
@@ -134,10 +134,10 @@
   for (int i = 0; i < 200; ++i) {
     d.request(0);
     d.advance(milliseconds(10));
-    for (std::size_t k = 0; k < d.out.size();) {
-      const Sent s = d.out[k];
+    for (std::size_t k = 0; k < d.in_flight.size();) {
+      const SentAttempt s = d.in_flight[k];
       if (s.host == d.host(0)) {
-        d.settle(s, AttemptOutcome::reset, false);
+        d.report_result(s, AttemptOutcome::reset, false);
       } else if (d.now - s.at >= milliseconds(30)) {
         d.serve(s);
       } else {
@@ -148,16 +148,16 @@
   Endpoint fresh = make_host(0);
   fresh.started_at = d.now;
   d.balancer.on_endpoint_update(d.now, EndpointUpdateKind::delta, {fresh});
-  while (!d.out.empty()) {
-    d.serve(Sent(d.out.front()));
+  while (!d.in_flight.empty()) {
+    d.serve(SentAttempt(d.in_flight.front()));
   }
-  d.forget();
+  d.clear_history();
   for (int i = 0; i < 100;
        ++i) {  // its budget is that of a cold host: less than one request at first
     d.request(0);
     d.advance(milliseconds(10));
-    while (!d.out.empty()) {
-      d.serve(Sent(d.out.front()));
+    while (!d.in_flight.empty()) {
+      d.serve(SentAttempt(d.in_flight.front()));
     }
   }
   EXPECT_GT(d.sent_to(d.host(0)), 0u);
@@ -168,14 +168,14 @@
   Driver d(make_settings(), 4);
   d.warm_up(0, 40);
   const HostId full = d.host(3);
-  d.forget();
+  d.clear_history();
   for (int i = 0; i < 400; ++i) {
     d.request(0);
     d.advance(milliseconds(5));
-    for (std::size_t k = 0; k < d.out.size();) {
-      const Sent s = d.out[k];
+    for (std::size_t k = 0; k < d.in_flight.size();) {
+      const SentAttempt s = d.in_flight[k];
       if (s.host == full) {
-        d.settle(s, AttemptOutcome::rejected_by_host, false);
+        d.report_result(s, AttemptOutcome::rejected_by_host, false);
       } else if (d.now - s.at >= milliseconds(20)) {
         d.serve(s);
       } else {
@@ -201,7 +201,7 @@
     d.request(1);
   }
   std::size_t held = 0;
-  for (const Sent& s : d.out) {
+  for (const SentAttempt& s : d.in_flight) {
     held += s.host == d.host(0);
   }
   EXPECT_LE(held, 60u) << "of 200: the pool sheds instead";
@@ -220,7 +220,7 @@
   }
   d.balancer.on_endpoint_update(d.now, EndpointUpdateKind::snapshot, list);
   d.collect();
-  d.forget();
+  d.clear_history();
   d.warm_up(1, 400, milliseconds(5));  // two seconds
   EXPECT_GE(d.sent.size(), 40u);
   EXPECT_LE(d.sent.size(), 200u) << "nor may they be pushed over";
@@ -254,11 +254,11 @@
   for (int i = 0; i < 2000; ++i) {
     d.request(1);
     d.advance(milliseconds(10));
-    for (std::size_t k = 0; k < d.out.size();) {
-      const Sent s = d.out[k];
+    for (std::size_t k = 0; k < d.in_flight.size();) {
+      const SentAttempt s = d.in_flight[k];
       if (s.host == flapping && (i / 100) % 2 == 1) {
         ++failures;
-        d.settle(s, AttemptOutcome::reset, false);
+        d.report_result(s, AttemptOutcome::reset, false);
       } else if (d.now - s.at >= milliseconds(30)) {
         d.serve(s);
       } else {
@@ -287,11 +287,11 @@
     for (int i = 0; i < n; ++i) {
       d.request(1);
       d.advance(milliseconds(10));
-      for (std::size_t k = 0; k < d.out.size();) {
-        const Sent s = d.out[k];
+      for (std::size_t k = 0; k < d.in_flight.size();) {
+        const SentAttempt s = d.in_flight[k];
         if (cut_off && far(s.host)) {
           if (d.now - s.at >= milliseconds(200)) {
-            d.settle(s, AttemptOutcome::connect_failed, false);
+            d.report_result(s, AttemptOutcome::connect_failed, false);
           } else {
             ++k;
           }
@@ -302,17 +302,17 @@
         }
       }
     }
-    for (const Sent& s : d.sent) {
+    for (const SentAttempt& s : d.sent) {
       lost += far(s.host);
     }
     return lost;
   };
   run(500);
-  d.forget();
+  d.clear_history();
   EXPECT_LT(run(500), 60u);
   cut_off = false;
   run(1500);
-  d.forget();
+  d.clear_history();
   EXPECT_GT(run(500), 100u);
 }
 
@@ -324,7 +324,7 @@
   int high = 0;
   for (int burst = 0; burst < 5; ++burst) {
     for (int i = 0; i < 150; ++i) {
-      high += d.refused(d.request(i % 10 == 0 ? 0 : 1));
+      high += d.rejected(d.request(i % 10 == 0 ? 0 : 1));
     }
     for (int i = 0; i < 20; ++i) {
       d.advance(milliseconds(10));
@@ -334,7 +334,7 @@
   EXPECT_GT(high, 0);
   int after = 0;
   for (int i = 0; i < 100; ++i) {
-    after += d.refused(d.request(1));
+    after += d.rejected(d.request(1));
     d.advance(milliseconds(10));
     serve_due(d, [](HostId) { return Duration(milliseconds(30)); });
   }
@@ -349,17 +349,17 @@
   for (int i = 0; i < 300; ++i) {
     const RequestId id = d.request(1);
     d.advance(milliseconds(10));
-    for (std::size_t k = 0; k < d.out.size();) {
-      const Sent s = d.out[k];
+    for (std::size_t k = 0; k < d.in_flight.size();) {
+      const SentAttempt s = d.in_flight[k];
       if (s.host <= d.host(4)) {
-        d.settle(s, AttemptOutcome::connect_failed, false);
+        d.report_result(s, AttemptOutcome::connect_failed, false);
       } else if (d.now - s.at >= milliseconds(20)) {
         d.serve(s);
       } else {
         ++k;
       }
     }
-    answered += d.refused(id) || d.failed(id);
+    answered += d.rejected(id) || d.failed(id);
   }
   EXPECT_LT(answered, 10)
       << "five of nine dead; with the median peer as the yardstick nobody is ejected";
@@ -376,7 +376,7 @@
     }
     d.balancer.on_endpoint_update(d.now, EndpointUpdateKind::snapshot, list);
     for (int i = 0; i < 300; ++i) {
-      refused += d.refused(d.request(1));
+      refused += d.rejected(d.request(1));
       d.advance(milliseconds(5 << phase));
       serve_due(d, [](HostId) { return Duration(milliseconds(30)); });
     }
@@ -397,7 +397,7 @@
   d.advance(seconds(1));
   serve_due(d, [&](HostId) { return Duration(milliseconds(20)); });
   d.advance(seconds(20));  // slower where requests are few
-  d.forget();
+  d.clear_history();
   for (int i = 0; i < 100; ++i) {
     d.request(1);
     d.advance(milliseconds(20));
@@ -412,11 +412,11 @@
   Driver d(make_settings(), 8);
   int refused = 0;
   for (int i = 0; i < 20; ++i) {
-    refused += d.refused(d.request(1));
+    refused += d.rejected(d.request(1));
   }
   EXPECT_EQ(refused, 0);
   for (int i = 0; i < 300; ++i) {
-    refused += d.refused(d.request(1));
+    refused += d.rejected(d.request(1));
   }
   EXPECT_GT(refused, 100);
 }
@@ -437,7 +437,7 @@
   for (int i = 0; i < 400; ++i) {
     const RequestId id = d.request(1);
     if (i >= 300) {
-      refused += d.refused(id);
+      refused += d.rejected(id);
     }
     d.advance(milliseconds(10));
     serve_due(d, [](HostId) { return Duration(milliseconds(30)); });
@@ -454,7 +454,7 @@
     for (int i = 0; i < 1500; ++i) {
       const RequestId id = d.request(1);
       if (i >= 500) {
-        refused += d.refused(id);
+        refused += d.rejected(id);
       }
       d.advance(milliseconds(5));
       serve_due(d, [&](HostId) { return Duration(milliseconds(time)); });
@@ -478,7 +478,7 @@
     d.advance(milliseconds(5));
     serve_due(d, [](HostId) { return Duration(milliseconds(300)); });
     if (i >= 3500) {
-      held += static_cast<double>(d.out.size()) / 500;
+      held += static_cast<double>(d.in_flight.size()) / 500;
     }
   }
   EXPECT_GT(held, 15) << "eight hosts keep nearly two each";
@@ -494,7 +494,7 @@
     d.advance(milliseconds(1), milliseconds(1));
     serve_due(d, [&](HostId) { return Duration(milliseconds(i < 5000 ? 60 : 360)); });
     if (i >= 30000) {
-      held += static_cast<double>(d.out.size()) / 5000;
+      held += static_cast<double>(d.in_flight.size()) / 5000;
     }
   }
   EXPECT_GT(held, 40) << "four a host, the floor, would be thirty-two";
@@ -506,9 +506,9 @@
   int refused = 0;
   int sends = 0;
   for (int i = 0; i < 450; ++i) {
-    refused += d.refused(d.request(1));
+    refused += d.rejected(d.request(1));
     while (++sends % 9 == 0) {
-      d.settle(d.last_sent(), AttemptOutcome::rejected_by_host, false);
+      d.report_result(d.last_sent(), AttemptOutcome::rejected_by_host, false);
     }
     d.advance(milliseconds(2), milliseconds(2));
     serve_due(d, [](HostId) { return Duration(milliseconds(50)); });
@@ -531,18 +531,18 @@
     heavy[id] = is_heavy;
     d.advance(milliseconds(2), milliseconds(2));
     const int slow = i > 1000 && i < 16000 ? 4 : 1;  // thirty seconds
-    for (std::size_t k = 0; k < d.out.size();) {
-      const Sent s = d.out[k];
+    for (std::size_t k = 0; k < d.in_flight.size();) {
+      const SentAttempt s = d.in_flight[k];
       if (d.now - s.at >= slow * milliseconds(heavy[s.request] ? 190 : 95)) {
         d.serve(s);
-      } else if (d.now - s.at >= s.limit) {
-        d.settle(s, AttemptOutcome::timeout, false);
+      } else if (d.now - s.at >= s.timeout) {
+        d.report_result(s, AttemptOutcome::timeout, false);
       } else {
         ++k;
       }
     }
     if (i >= 19000 && is_heavy) {
-      refused += d.refused(id);
+      refused += d.rejected(id);
     }
   }
   EXPECT_LE(refused, 50) << "of two hundred heavy ones, six seconds later";
@@ -558,10 +558,10 @@
     for (int i = 0; i < 3000; ++i) {
       const RequestId id = d.request(1);
       if (i >= 1000) {
-        refused[round] += d.refused(id);
+        refused[round] += d.rejected(id);
       }
       while (round == 1 && ++sends % 15 == 0) {
-        d.settle(d.last_sent(), AttemptOutcome::rejected_by_host, false);
+        d.report_result(d.last_sent(), AttemptOutcome::rejected_by_host, false);
       }
       d.advance(milliseconds(5));
       serve_due(d, [&](HostId) { return Duration(milliseconds(105)); });
@@ -575,11 +575,12 @@
   Driver d(make_settings(), 3);
   for (int i = 0; i < 20; ++i) {
     const RequestId id = d.request(1);
-    EXPECT_FALSE(d.refused(id));
+    EXPECT_FALSE(d.rejected(id));
     d.advance(milliseconds(300));
-    while (!d.out.empty()) {
-      d.settle(Sent(d.out.front()),
-               i % 4 == 0 ? AttemptOutcome::server_error : AttemptOutcome::success, i % 4 != 0);
+    while (!d.in_flight.empty()) {
+      d.report_result(SentAttempt(d.in_flight.front()),
+                      i % 4 == 0 ? AttemptOutcome::server_error : AttemptOutcome::success,
+                      i % 4 != 0);
     }
     d.advance(milliseconds(400));
   }
@@ -590,12 +591,12 @@
   for (int i = 0; i < 50; ++i) {
     d.request(1);
     d.advance(milliseconds(50));
-    while (!d.out.empty()) {
-      d.settle(Sent(d.out.front()), AttemptOutcome::server_error, false);
+    while (!d.in_flight.empty()) {
+      d.report_result(SentAttempt(d.in_flight.front()), AttemptOutcome::server_error, false);
     }
   }
   d.advance(seconds(3));
-  d.forget();
+  d.clear_history();
   d.request(0);
   EXPECT_EQ(d.sent.size(), 1u);
 }
@@ -611,7 +612,7 @@
   };
   for (int i = 0; i < 400; ++i) {
     if (i == 200) {
-      d.forget();
+      d.clear_history();
     }
     d.request(0);
     d.advance(milliseconds(40));
@@ -625,7 +626,7 @@
   Driver d(make_settings(), 6);
   d.warm_up(0, 30);
   const RequestId id = d.request(0, milliseconds(500));  // 500 of 1000 ms spent, the aim is 400
-  EXPECT_TRUE(d.refused(id));
+  EXPECT_TRUE(d.rejected(id));
 }
 
 // A client's last try gets all that is left of its wait, often more than its first ones: taken for
@@ -634,12 +635,12 @@
   Driver d(make_settings(), 6);
   for (int i = 0; i < 60; ++i) {
     d.request(0, i % 4 == 3 ? milliseconds(950) : milliseconds(600));
-    const Sent s = d.last_sent();
+    const SentAttempt s = d.last_sent();
     if (i > 20) {
-      EXPECT_GE(s.limit, i % 4 == 3 ? milliseconds(320) : milliseconds(380)) << i;
+      EXPECT_GE(s.timeout, i % 4 == 3 ? milliseconds(320) : milliseconds(380)) << i;
     }
     if (i > 20 && i % 4 == 3) {
-      EXPECT_LE(s.limit, milliseconds(350)) << "50 ms were spent before";
+      EXPECT_LE(s.timeout, milliseconds(350)) << "50 ms were spent before";
     }
     d.advance(milliseconds(30));
     d.serve(s);
@@ -655,7 +656,7 @@
   s.streams_per_connection = 100;
   Driver d(s, 1);
   d.warm_up(0, 10);
-  d.forget();
+  d.clear_history();
   for (int i = 0; i < 24; ++i) {
     const bool pause = i % 2 == 0;
     const std::size_t closed = d.count<CloseIdleConnections>();
@@ -663,11 +664,12 @@
       d.advance(idle);
     }
     d.request(0);
-    if (d.out.empty()) {
+    if (d.in_flight.empty()) {
       continue;
     }
     const bool old = pause && d.count<CloseIdleConnections>() == closed;
-    d.settle(Sent(d.out.front()), old ? AttemptOutcome::reset : AttemptOutcome::success, !old);
+    d.report_result(SentAttempt(d.in_flight.front()),
+                    old ? AttemptOutcome::reset : AttemptOutcome::success, !old);
   }
   return d.count<CloseIdleConnections>();
 }
@@ -686,13 +688,13 @@
   for (int i = 0; i < 3; ++i) {
     d.request(0);
   }
-  const Sent first = d.out[0];
-  const Sent second = d.out[1];
-  const Sent third = d.out[2];
-  d.settle(third, AttemptOutcome::connect_failed, false);
+  const SentAttempt first = d.in_flight[0];
+  const SentAttempt second = d.in_flight[1];
+  const SentAttempt third = d.in_flight[2];
+  d.report_result(third, AttemptOutcome::connect_failed, false);
   d.serve(first);
   d.serve(second);
-  d.forget();
+  d.clear_history();
   d.warm_up(0, 12, milliseconds(20));
   EXPECT_GT(d.sent_to(third.host), 2u);
 }
@@ -705,11 +707,12 @@
   for (int i = 0; i < 1500; ++i) {
     d.request(0);
     d.advance(milliseconds(20), milliseconds(20));
-    while (!d.out.empty()) {
-      const Sent sent = d.out.front();
+    while (!d.in_flight.empty()) {
+      const SentAttempt sent = d.in_flight.front();
       const bool accepts = sent.host == d.host(0);
       asked += !accepts;
-      d.settle(sent, accepts ? AttemptOutcome::success : AttemptOutcome::connect_failed, accepts);
+      d.report_result(sent, accepts ? AttemptOutcome::success : AttemptOutcome::connect_failed,
+                      accepts);
     }
   }
   EXPECT_LT(asked, 25u) << "three hosts in half a minute";
@@ -726,13 +729,13 @@
     const std::uint32_t cls = i % 4 == 0 ? 1 : 0;
     d.request(cls);
     d.advance(milliseconds(20), milliseconds(20));
-    while (!d.out.empty()) {
-      const Sent sent = d.out.front();
+    while (!d.in_flight.empty()) {
+      const SentAttempt sent = d.in_flight.front();
       if (i >= 600 && sent.host == bad) {
         ++to_bad[cls];
       }
       const bool fails = cls == 1 && sent.host == bad;
-      d.settle(sent, fails ? AttemptOutcome::server_error : AttemptOutcome::success, !fails);
+      d.report_result(sent, fails ? AttemptOutcome::server_error : AttemptOutcome::success, !fails);
     }
   }
   EXPECT_LT(to_bad[1], 10u);  // of 150; an even share would be 25
@@ -751,13 +754,14 @@
     const std::uint32_t cls = i % 4 == 0 ? 1 : 0;
     d.request(cls);
     d.advance(milliseconds(20), milliseconds(20));
-    while (!d.out.empty()) {
-      const Sent sent = d.out.front();
+    while (!d.in_flight.empty()) {
+      const SentAttempt sent = d.in_flight.front();
       if (i >= 600 && sent.host == bad) {
         ++to_bad[cls];
       }
       const bool full = cls == 1 && sent.host == bad;
-      d.settle(sent, full ? AttemptOutcome::rejected_by_host : AttemptOutcome::success, !full);
+      d.report_result(sent, full ? AttemptOutcome::rejected_by_host : AttemptOutcome::success,
+                      !full);
     }
   }
   EXPECT_LT(to_bad[1], 10u);  // of 150; an even share would be 25
@@ -780,7 +784,7 @@
     }
     const RequestId late = d.request(0, milliseconds(750));
     if (i >= rounds / 2) {
-      refused += d.refused(late);
+      refused += d.rejected(late);
     }
     d.advance(milliseconds(100));
     serve_due(d, [&](HostId) { return i < rounds / 4 ? Duration(milliseconds(300)) : answer; });
--- a/tests/load_balancer/gateway_count_test.cpp
+++ b/tests/load_balancer/gateway_count_test.cpp
@@ -45,15 +45,15 @@
           d->request(0);
         }
         d->advance(milliseconds(20), milliseconds(20));
-        while (!d->out.empty() && d->now - d->out.front().at >= answer) {
-          d->serve(Sent(d->out.front()));
+        while (!d->in_flight.empty() && d->now - d->in_flight.front().at >= answer) {
+          d->serve(SentAttempt(d->in_flight.front()));
         }
       }
     }
   }
   void forget() {
     for (auto& d : drivers) {
-      d->forget();
+      d->clear_history();
     }
   }
   std::size_t sent_to(int host) const {
@@ -154,12 +154,12 @@
               d.request(0), due -= 1;
             }
             d.advance(kTick, kTick);
-            for (std::size_t k = 0; k < d.out.size();) {
-              const Sent sent = d.out[k];
+            for (std::size_t k = 0; k < d.in_flight.size();) {
+              const SentAttempt sent = d.in_flight[k];
               if (d.now - sent.at < milliseconds(40)) {
                 ++k;
               } else if (sent.host < kCold && to_unit_interval(draws()) < 0.2) {
-                d.settle(sent, AttemptOutcome::rejected_by_host, false);
+                d.report_result(sent, AttemptOutcome::rejected_by_host, false);
               } else {
                 d.serve(sent);
               }
@@ -385,12 +385,12 @@
   for (int i = 0; i < 600; ++i) {
     slow.request(1);
     slow.advance(milliseconds(150));
-    for (std::size_t k = 0; k < slow.out.size();) {
-      const Sent o = slow.out[k];
+    for (std::size_t k = 0; k < slow.in_flight.size();) {
+      const SentAttempt o = slow.in_flight[k];
       if (i < 300) {
-        slow.settle(o, AttemptOutcome::success, true, milliseconds(40));
+        slow.report_result(o, AttemptOutcome::success, true, milliseconds(40));
       } else if (slow.now - o.at >= milliseconds(380)) {
-        slow.settle(o, AttemptOutcome::timeout, false);
+        slow.report_result(o, AttemptOutcome::timeout, false);
       } else {
         ++k;
       }
@@ -415,15 +415,16 @@
       d.warm_up(cls, 60);
     }
     for (std::uint32_t cls : {0u, 1u}) {
-      d.forget();
+      d.clear_history();
       d.request(cls);
       d.advance(milliseconds(300));
       EXPECT_EQ(d.sent.size(), parallel && cls == 0 ? 2u : 1u);
       if (d.sent.size() == 2) {
         EXPECT_NE(d.sent[0].host, d.sent[1].host);
       }
-      while (!d.out.empty()) {
-        d.settle(Sent(d.out.back()), AttemptOutcome::success, d.out.size() == 1);
+      while (!d.in_flight.empty()) {
+        d.report_result(SentAttempt(d.in_flight.back()), AttemptOutcome::success,
+                        d.in_flight.size() == 1);
       }
     }
   }
@@ -436,7 +437,7 @@
   s.dynamic_weights = true;
   Driver d(s, 6);
   const auto run = [&](double weight) {
-    d.forget();
+    d.clear_history();
     for (int i = 0; i < 400; ++i) {
       if (i % 10 == 0) {
         Endpoint e = make_host(2);
@@ -445,8 +446,8 @@
       }
       d.request(0);
       d.advance(milliseconds(40));
-      while (!d.out.empty()) {
-        d.serve(Sent(d.out.front()));
+      while (!d.in_flight.empty()) {
+        d.serve(SentAttempt(d.in_flight.front()));
       }
     }
     return d.sent_to(d.host(2));
@@ -464,11 +465,11 @@
   s.max_attempts = 2;
   Driver d(s, 20);
   d.warm_up(0, 200, milliseconds(200));
-  d.forget();
+  d.clear_history();
   for (int i = 0; i < 20; ++i) {
     d.request(0);
-    while (!d.out.empty()) {
-      d.settle(Sent(d.out.front()), AttemptOutcome::rejected_by_host, false);
+    while (!d.in_flight.empty()) {
+      d.report_result(SentAttempt(d.in_flight.front()), AttemptOutcome::rejected_by_host, false);
     }
     d.advance(milliseconds(20));
   }
@@ -488,20 +489,21 @@
                                 {list.begin(), list.begin() + 8});
   for (int i = 0; i < 400; ++i) {
     d.request(0);
-    while (!d.out.empty()) {
-      const Sent o = d.out.front();
+    while (!d.in_flight.empty()) {
+      const SentAttempt o = d.in_flight.front();
       const bool slow =
           o.host == d.host(1) || o.host == d.host(3) || o.host == d.host(5) || o.host == d.host(7);
-      d.settle(o, AttemptOutcome::success, true, milliseconds(slow ? 90 : 30));
+      d.report_result(o, AttemptOutcome::success, true, milliseconds(slow ? 90 : 30));
     }
     d.advance(milliseconds(50), milliseconds(50));
   }
   d.balancer.on_endpoint_update(d.now, EndpointUpdateKind::delta, {list.begin() + 8, list.end()});
-  d.forget();
+  d.clear_history();
   for (int i = 0; i < 60; ++i) {
     d.request(0);
-    while (!d.out.empty()) {
-      d.settle(Sent(d.out.front()), AttemptOutcome::cancelled, true);  // teaches nothing
+    while (!d.in_flight.empty()) {
+      d.report_result(SentAttempt(d.in_flight.front()), AttemptOutcome::cancelled,
+                      true);  // teaches nothing
     }
   }
   EXPECT_GT(d.sent_to(d.host(8)) + d.sent_to(d.host(10)),
@@ -525,8 +527,8 @@
           hosts.insert(d.balancer.address(d.last_sent().host));
         }
         d.advance(milliseconds(20), milliseconds(20));
-        while (!d.out.empty()) {
-          d.serve(Sent(d.out.front()));
+        while (!d.in_flight.empty()) {
+          d.serve(SentAttempt(d.in_flight.front()));
         }
       }
     }
@@ -543,14 +545,14 @@
 TEST(Connect, AHostThatDoesNotLetUsInRestsAtOnce) {
   Driver d(make_settings(), 6);
   d.warm_up(0, 60);
-  d.forget();
+  d.clear_history();
   for (int i = 0; i < 40; ++i) {
     d.request(0);
     d.advance(milliseconds(10));
-    for (std::size_t k = 0; k < d.out.size();) {
-      const Sent o = d.out[k];
+    for (std::size_t k = 0; k < d.in_flight.size();) {
+      const SentAttempt o = d.in_flight[k];
       if (o.host == d.host(1)) {
-        d.settle(o, AttemptOutcome::connect_failed, false);
+        d.report_result(o, AttemptOutcome::connect_failed, false);
       } else {
         d.serve(o);
       }
@@ -570,11 +572,12 @@
     return s;
   }
   // Fifteen requests a second, answered after 80 ms with a report.
-  void run(double for_seconds, double busy, const std::function<bool(const Sent&)>& other = {}) {
+  void run(double for_seconds, double busy,
+           const std::function<bool(const SentAttempt&)>& other = {}) {
     for (int i = 0; i < static_cast<int>(for_seconds / 0.066); ++i) {
       request(1);
       advance(milliseconds(66), milliseconds(6));
-      for (const Sent& s : std::vector<Sent>(out)) {
+      for (const SentAttempt& s : std::vector<SentAttempt>(in_flight)) {
         if (other && other(s)) {
           continue;
         }
@@ -602,12 +605,12 @@
 TEST(Trickle, AHostThatFailsAtOnceIsLeftAfterFewFailures) {
   Trickle d(6);
   d.run(5, 0.4);
-  d.forget();
-  d.run(30, 0.4, [&](const Sent& s) {
+  d.clear_history();
+  d.run(30, 0.4, [&](const SentAttempt& s) {
     if (s.host != d.host(3)) {
       return false;
     }
-    d.settle(s, AttemptOutcome::server_error, false);
+    d.report_result(s, AttemptOutcome::server_error, false);
     return true;
   });
   EXPECT_LE(d.sent_to(d.host(3)), 6u) << "of 450 on 6 hosts";
--- a/tests/load_balancer/maintenance_test.cpp
+++ b/tests/load_balancer/maintenance_test.cpp
@@ -27,12 +27,12 @@
   }
   // Whether host 0 gets any of so many requests, one after another.
   std::size_t gets(int count, std::uint32_t cls = 0) {
-    d.forget();
+    d.clear_history();
     for (int i = 0; i < count; ++i) {
       d.request(cls);
       d.advance(milliseconds(20), milliseconds(20));
-      while (!d.out.empty()) {
-        d.serve(Sent(d.out.front()));
+      while (!d.in_flight.empty()) {
+        d.serve(SentAttempt(d.in_flight.front()));
       }
     }
     return d.balancer.find_host(address) == kNone ? 0 : d.sent_to(d.balancer.find_host(address));
@@ -87,15 +87,15 @@
   s.allow_hedging = true;
   Driver two(s, 2);
   two.warm_up(0, 20);
-  two.forget();
+  two.clear_history();
   two.request(0);
-  const Sent first = two.last_sent();
+  const SentAttempt first = two.last_sent();
   const int other = first.host == two.host(0) ? 1 : 0;
   two.balancer.set_maintenance(two.now, make_host(other).address, true);
   two.collect();
   two.advance(milliseconds(600));  // past the time for a second copy
   EXPECT_EQ(two.sent_to(two.host(other)), 0u);
-  two.settle(first, AttemptOutcome::server_error, false);
+  two.report_result(first, AttemptOutcome::server_error, false);
   EXPECT_EQ(two.sent_to(two.host(other)), 0u);
 }
 
@@ -103,7 +103,7 @@
   Driver one(make_settings(), 1);
   one.balancer.set_maintenance(one.now, make_host(0).address, true);
   one.collect();
-  EXPECT_TRUE(one.refused(one.request(1)));
+  EXPECT_TRUE(one.rejected(one.request(1)));
 }
 
 TEST_F(TakenOutTest, ComesBackColdThoughTheListLags) {
@@ -142,7 +142,7 @@
     entries[0].started_at = d.now;
     d.balancer.on_endpoint_update(d.now, EndpointUpdateKind::snapshot, entries);
     d.collect();
-    d.forget();
+    d.clear_history();
     d.warm_up(0, 250, milliseconds(20));
     return d.sent_to(d.host(0));
   };
--- a/tests/load_balancer/pending_body_test.cpp
+++ b/tests/load_balancer/pending_body_test.cpp
@@ -27,12 +27,12 @@
 TEST_F(ComingTest, ItsTimeCountsFromItsLastPart) {
   const RequestId id = coming(1);
   ASSERT_EQ(d.sent.size(), 1u) << "it goes to a host as it comes";
-  EXPECT_LE(d.last_sent().limit, milliseconds(1000)) << "and this counts from there too";
+  EXPECT_LE(d.last_sent().timeout, milliseconds(1000)) << "and this counts from there too";
   d.advance(seconds(30), milliseconds(50));
-  EXPECT_EQ(d.answers.count(id), 0u);
+  EXPECT_EQ(d.gateway_responses.count(id), 0u);
   whole(id);
   d.advance(milliseconds(900));
-  EXPECT_EQ(d.answers.count(id), 0u);
+  EXPECT_EQ(d.gateway_responses.count(id), 0u);
   d.advance(milliseconds(100));
   EXPECT_TRUE(d.failed(id)) << "it may have run";
 }
@@ -42,15 +42,15 @@
   for (int i = 0; i < 200; ++i) {
     coming(1);
   }
-  EXPECT_EQ(d.out.size(), 200u) << "none was refused";
+  EXPECT_EQ(d.in_flight.size(), 200u) << "none was refused";
   EXPECT_LE(d.balancer.shedding_threshold(), 1);
 }
 
 TEST_F(ComingTest, OneThatNeverRanGoesElsewhereWhileItIsHeld) {
   const RequestId id = coming(1);
-  const Sent first = d.last_sent();
+  const SentAttempt first = d.last_sent();
   d.advance(seconds(5), milliseconds(50));
-  d.settle(first, AttemptOutcome::connect_failed, false);
+  d.report_result(first, AttemptOutcome::connect_failed, false);
   ASSERT_EQ(d.sent.size(), 2u);
   EXPECT_NE(d.last_sent().host, first.host);
   whole(id);
@@ -60,14 +60,14 @@
 
 TEST_F(ComingTest, OneThatIsNoLongerHeldIsRefusedIfItNeverRanAndFailsIfItMay) {
   for (const AttemptOutcome outcome : {AttemptOutcome::connect_failed, AttemptOutcome::reset}) {
-    d.forget();
+    d.clear_history();
     const RequestId id = coming(1);
-    const Sent first = d.last_sent();
+    const SentAttempt first = d.last_sent();
     d.balancer.on_attempt_result(
         d.now, {first.request, 0, first.host, outcome, milliseconds(1), false, true});
     d.collect();
     EXPECT_EQ(d.sent.size(), 1u);
-    EXPECT_TRUE(outcome == AttemptOutcome::reset ? d.failed(id) : d.refused(id));
+    EXPECT_TRUE(outcome == AttemptOutcome::reset ? d.failed(id) : d.rejected(id));
   }
 }
 
@@ -76,7 +76,7 @@
   s.allow_hedging = true;
   d = Driver(s);
   d.warm_up(0, 40);
-  d.forget();
+  d.clear_history();
   const RequestId id = coming(0);
   d.advance(milliseconds(500));
   whole(id);
@@ -90,7 +90,7 @@
   d.balancer.on_client_disconnected(d.now, id);
   d.collect();
   whole(id);
-  d.settle(d.last_sent(), AttemptOutcome::cancelled, true);
+  d.report_result(d.last_sent(), AttemptOutcome::cancelled, true);
   EXPECT_EQ(d.balancer.active_requests(), 0u);
 }
 
--- a/tests/load_balancer/rules_test.cpp
+++ b/tests/load_balancer/rules_test.cpp
@@ -15,8 +15,8 @@
   bool zero = false;
   double smooth = 0;
   for (int i = 0; i < 300; ++i) {
-    const auto held = static_cast<double>(d.out.size());
-    const std::size_t before = d.out.size();
+    const auto held = static_cast<double>(d.in_flight.size());
+    const std::size_t before = d.in_flight.size();
     d.request(0);
     smooth += 0.05 * (held - smooth);
     const double x = std::clamp((smooth / 60 - 0.5) / 0.5, 0.0, 1.0);
@@ -36,14 +36,14 @@
   for (int i = 0; i < 400; ++i) {
     const std::uint32_t cls = engine() % 4 == 0 ? 0 : 1;
     const RequestId id = d.request(cls);
-    if (d.out.size() > 44) {
-      d.serve(Sent(d.out[engine() % d.out.size()]));
+    if (d.in_flight.size() > 44) {
+      d.serve(SentAttempt(d.in_flight[engine() % d.in_flight.size()]));
     }
     if (d.balancer.shedding_threshold() > 60) {
       continue;  // high worth holds the top quarter of the scores
     }
-    low += cls == 1 && d.refused(id);
-    high += cls == 0 && d.refused(id);
+    low += cls == 1 && d.rejected(id);
+    high += cls == 0 && d.rejected(id);
   }
   EXPECT_GT(low, 10);
   EXPECT_EQ(high, 0);
@@ -57,9 +57,9 @@
   for (int i = 0; i < 12000; ++i) {
     const std::uint32_t cls = 1 + engine() % 2;
     const RequestId id = d.request(cls);
-    refused[cls] += d.refused(id);
-    if (d.out.size() > 42) {
-      d.serve(Sent(d.out[engine() % d.out.size()]));
+    refused[cls] += d.rejected(id);
+    if (d.in_flight.size() > 42) {
+      d.serve(SentAttempt(d.in_flight[engine() % d.in_flight.size()]));
     }
   }
   EXPECT_GT(refused[1], 50);
@@ -72,8 +72,8 @@
   for (int i = 0; i < 60; ++i) {
     d.request(1);
     d.advance(milliseconds(20));
-    while (!d.out.empty()) {
-      d.settle(Sent(d.out.front()), AttemptOutcome::server_error, false);
+    while (!d.in_flight.empty()) {
+      d.report_result(SentAttempt(d.in_flight.front()), AttemptOutcome::server_error, false);
     }
   }
   EXPECT_GT(d.balancer.shedding_threshold(), 1);
@@ -92,7 +92,7 @@
     for (int i = 0; i < 2000; ++i) {
       const std::uint32_t cls = i % 2;
       const RequestId id = d.request(cls);
-      if (!d.refused(id)) {
+      if (!d.rejected(id)) {
         continue;
       }
       ++counts[cls];
@@ -127,8 +127,8 @@
   for (int i = 0; i < 400; ++i) {
     d.request(0);
     d.advance(milliseconds(10));
-    for (std::size_t k = 0; k < d.out.size();) {
-      const Sent s = d.out[k];
+    for (std::size_t k = 0; k < d.in_flight.size();) {
+      const SentAttempt s = d.in_flight[k];
       if (d.now - s.at >= milliseconds(s.host == slow ? 90 : 30)) {
         d.serve(s);
       } else {
@@ -171,7 +171,7 @@
   const std::size_t own = d.sent_to(d.host(0)) + d.sent_to(d.host(1));
   EXPECT_GT(own, 115u);
   EXPECT_LT(own, 200u);
-  d.forget();
+  d.clear_history();
   for (int i = 0; i < 4; ++i) {
     d.request(0);
   }
@@ -182,10 +182,10 @@
 
 TEST(Answers, NoHostOrNoTimeGetsAnImmediateAnswer) {
   Driver none(make_settings(), 0);
-  EXPECT_TRUE(none.refused(none.request(1)));
+  EXPECT_TRUE(none.rejected(none.request(1)));
   Driver d(make_settings());
-  EXPECT_TRUE(d.refused(d.request(1, Duration{})));
-  EXPECT_TRUE(d.refused(d.request(1, milliseconds(-3))));
+  EXPECT_TRUE(d.rejected(d.request(1, Duration{})));
+  EXPECT_TRUE(d.rejected(d.request(1, milliseconds(-3))));
   EXPECT_EQ(d.sent.size(), 0u);
 }
 
@@ -200,27 +200,27 @@
 TEST(Answers, AttemptsEndBeforeTheClientsDeadline) {
   Driver d(make_settings());
   d.request(0, milliseconds(300));
-  EXPECT_LE(d.last_sent().limit, milliseconds(300));
-  EXPECT_GE(d.last_sent().limit, milliseconds(200));
+  EXPECT_LE(d.last_sent().timeout, milliseconds(300));
+  EXPECT_GE(d.last_sent().timeout, milliseconds(200));
 }
 
 TEST(Answers, NothingAfterTheEnd) {
   Driver d(make_settings());
   const RequestId id = d.request(0);
-  const Sent first = d.last_sent();
+  const SentAttempt first = d.last_sent();
   d.balancer.on_client_disconnected(d.now, id);
   d.collect();
   EXPECT_EQ(d.count<CancelAttempt>(), 1u);
-  d.settle(first, AttemptOutcome::connect_failed, false);
+  d.report_result(first, AttemptOutcome::connect_failed, false);
   EXPECT_EQ(d.sent.size(), 1u);
-  EXPECT_EQ(d.answers.count(id), 0u);
+  EXPECT_EQ(d.gateway_responses.count(id), 0u);
   EXPECT_EQ(d.balancer.active_requests(), 0u);
 }
 
 TEST(Answers, UnknownClassIsFragileAndLowest) {
   Driver d(make_settings());
   const RequestId id = d.request(57);
-  d.settle(d.last_sent(), AttemptOutcome::server_error, false);
+  d.report_result(d.last_sent(), AttemptOutcome::server_error, false);
   EXPECT_TRUE(d.failed(id));
   EXPECT_EQ(d.sent.size(), 1u);
 }
@@ -228,7 +228,7 @@
 TEST(Answers, StrayEventsAreIgnored) {
   Driver d(make_settings());
   const RequestId id = d.request(0);
-  const Sent s = d.last_sent();
+  const SentAttempt s = d.last_sent();
   d.balancer.on_attempt_result(d.now,
                                {id + 50, 0, s.host, AttemptOutcome::server_error, {}, false});
   d.balancer.on_attempt_result(d.now, {id, 3, s.host, AttemptOutcome::server_error, {}, false});
@@ -236,7 +236,7 @@
   d.balancer.on_response_started(d.now, 999, 0);
   d.request(0);
   d.collect();
-  EXPECT_EQ(d.answers.size(), 0u);
+  EXPECT_EQ(d.gateway_responses.size(), 0u);
   d.serve(s);
   d.balancer.on_attempt_result(d.now, {id, 0, s.host, AttemptOutcome::success, {}, true});
   EXPECT_EQ(d.balancer.active_requests(), 1u);
@@ -248,8 +248,8 @@
   const RequestId id = d.request(0);
   d.balancer.on_response_started(d.now, id, 0);
   d.advance(seconds(3));
-  EXPECT_EQ(d.answers.count(id), 0u);
-  d.settle(d.last_sent(), AttemptOutcome::reset, true);
+  EXPECT_EQ(d.gateway_responses.count(id), 0u);
+  d.report_result(d.last_sent(), AttemptOutcome::reset, true);
   EXPECT_EQ(d.sent.size(), 1u);
   EXPECT_EQ(d.balancer.active_requests(), 0u);
 }
@@ -261,7 +261,7 @@
                            AttemptOutcome::reset, AttemptOutcome::cancelled}) {
     Driver d(make_settings());
     const RequestId id = d.request(1);
-    d.settle(d.last_sent(), o, false);
+    d.report_result(d.last_sent(), o, false);
     EXPECT_EQ(d.sent.size(), 1u);
     EXPECT_TRUE(d.failed(id)) << "a refusal would claim that a retry is harmless";
   }
@@ -269,7 +269,7 @@
     Driver d(make_settings());
     d.request(1);
     const HostId first = d.last_sent().host;
-    d.settle(d.last_sent(), o, false);
+    d.report_result(d.last_sent(), o, false);
     ASSERT_EQ(d.sent.size(), 2u);
     EXPECT_NE(d.last_sent().host, first);
   }
@@ -279,10 +279,10 @@
   Driver d(make_settings());
   const RequestId id = d.request(1);
   for (int i = 0; i < 4; ++i) {
-    d.settle(d.last_sent(), AttemptOutcome::rejected_by_host, false);
+    d.report_result(d.last_sent(), AttemptOutcome::rejected_by_host, false);
   }
   EXPECT_EQ(d.sent.size(), 4u) << "maxAttempts";
-  EXPECT_TRUE(d.refused(id));
+  EXPECT_TRUE(d.rejected(id));
 }
 
 TEST(Repeats, DedupStaysInItsGroupAndWindow) {
@@ -299,16 +299,16 @@
       d.balancer.on_endpoint_update(d.now, EndpointUpdateKind::snapshot, list);
       const RequestId id = d.request(2);
       const int first = std::stoi(d.balancer.address(d.last_sent().host).substr(5)) - 100;
-      d.settle(d.last_sent(), AttemptOutcome::reset, false);
+      d.report_result(d.last_sent(), AttemptOutcome::reset, false);
       ASSERT_EQ(d.sent.size(), 2u);
       const int second = std::stoi(d.balancer.address(d.last_sent().host).substr(5)) - 100;
       EXPECT_EQ(first / (g == DeduplicationScope::cell ? 2 : 4),
                 second / (g == DeduplicationScope::cell ? 2 : 4));
-      while (!d.out.empty()) {
+      while (!d.in_flight.empty()) {
         const int next = std::stoi(d.balancer.address(d.last_sent().host).substr(5)) - 100;
         EXPECT_EQ(first / (g == DeduplicationScope::cell ? 2 : 4),
                   next / (g == DeduplicationScope::cell ? 2 : 4));
-        d.settle(d.last_sent(), AttemptOutcome::timeout, false);
+        d.report_result(d.last_sent(), AttemptOutcome::timeout, false);
       }
       EXPECT_TRUE(d.failed(id)) << "never refused: the group is not all";
     }
@@ -318,7 +318,7 @@
   Driver d(late);
   const RequestId id = d.request(2);
   d.advance(milliseconds(150));
-  d.settle(d.last_sent(), AttemptOutcome::reset, false);
+  d.report_result(d.last_sent(), AttemptOutcome::reset, false);
   EXPECT_EQ(d.sent.size(), 1u);
   EXPECT_TRUE(d.failed(id));
 }
@@ -329,8 +329,8 @@
   s.max_attempts = 1;
   Driver d(s);
   const RequestId id = d.request(2);
-  d.settle(d.last_sent(), AttemptOutcome::server_error, false);
-  EXPECT_TRUE(d.refused(id));
+  d.report_result(d.last_sent(), AttemptOutcome::server_error, false);
+  EXPECT_TRUE(d.rejected(id));
 }
 
 // --- Rule 3: drains ---
@@ -342,11 +342,11 @@
   lame.state = EndpointState::draining;
   gone.state = EndpointState::removed;
   d.balancer.on_endpoint_update(d.now, EndpointUpdateKind::delta, {lame, gone});
-  d.forget();
+  d.clear_history();
   for (int i = 0; i < 30; ++i) {
     d.request(0);
-    while (!d.out.empty()) {
-      d.serve(Sent(d.out.front()));
+    while (!d.in_flight.empty()) {
+      d.serve(SentAttempt(d.in_flight.front()));
     }
   }
   EXPECT_EQ(d.sent_to(d.host(2)), 30u);
@@ -355,7 +355,7 @@
 TEST(Drains, AWholeListDropsWhatItLeavesOut) {
   Driver d(make_settings(), 3);
   d.balancer.on_endpoint_update(d.now, EndpointUpdateKind::snapshot, {make_host(2)});
-  d.forget();
+  d.clear_history();
   for (int i = 0; i < 10; ++i) {
     d.request(0);
     d.serve(d.last_sent());
@@ -430,16 +430,16 @@
   Endpoint cold = make_host(9);
   cold.started_at = d.now;
   d.balancer.on_endpoint_update(d.now, EndpointUpdateKind::delta, {cold});
-  d.forget();
+  d.clear_history();
   std::size_t warm = 0;
   for (int i = 0; i < 200;
        ++i) {  // two seconds, the cold host refuses all: refused attempts count too
     d.request(0);
     d.advance(milliseconds(10));
-    while (!d.out.empty()) {
-      const Sent o = d.out.front();
+    while (!d.in_flight.empty()) {
+      const SentAttempt o = d.in_flight.front();
       if (o.host == d.host(9)) {
-        d.settle(o, AttemptOutcome::rejected_by_host, false);
+        d.report_result(o, AttemptOutcome::rejected_by_host, false);
       } else {
         d.serve(o);
       }
@@ -462,8 +462,8 @@
   for (int i = 0; i < 400; ++i) {
     d.request(0);
     d.advance(milliseconds(5));
-    while (!d.out.empty()) {
-      d.serve(Sent(d.out.front()));
+    while (!d.in_flight.empty()) {
+      d.serve(SentAttempt(d.in_flight.front()));
     }
   }
   EXPECT_GT(d.sent.size(), 0u);
@@ -506,7 +506,7 @@
   std::uint32_t cls;
   Time deadline;
   bool over = false;
-  std::vector<Sent> tries;
+  std::vector<SentAttempt> tries;
   std::vector<int> state;  // 0 out, 1 proven unrun, 2 may have run
 };
 
--- a/tests/support/balancer_driver.hpp
+++ b/tests/support/balancer_driver.hpp
@@ -54,12 +54,12 @@
   return e;
 }
 
-struct Sent {
+struct SentAttempt {
   RequestId request;
   std::uint32_t attempt;
   HostId host;
   Time at;
-  Duration limit;
+  Duration timeout;
 };
 
 // All fields of an action, to compare the actions of two runs.
@@ -114,18 +114,19 @@
     collect();
     return q.id;
   }
-  void settle(const Sent& s, AttemptOutcome outcome, bool terminal, Duration taken = Duration(-1)) {
+  void report_result(const SentAttempt& s, AttemptOutcome outcome, bool terminal,
+                     Duration taken = Duration(-1)) {
     balancer.on_attempt_result(now, {s.request, s.attempt, s.host, outcome,
                                      taken < Duration{} ? now - s.at : taken, terminal});
-    for (std::size_t i = 0; i < out.size(); ++i) {
-      if (out[i].request == s.request && out[i].attempt == s.attempt) {
-        out.erase(out.begin() + static_cast<std::ptrdiff_t>(i));
+    for (std::size_t i = 0; i < in_flight.size(); ++i) {
+      if (in_flight[i].request == s.request && in_flight[i].attempt == s.attempt) {
+        in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(i));
         break;
       }
     }
     collect();
   }
-  void serve(const Sent& s) { settle(s, AttemptOutcome::success, true); }
+  void serve(const SentAttempt& s) { report_result(s, AttemptOutcome::success, true); }
   void advance(Duration by, Duration step = milliseconds(5)) {
     for (const Time end = now + by; now < end;) {
       now += step;
@@ -133,25 +134,27 @@
       collect();
     }
   }
-  // Serves everything that is out, `count` requests of class `cls` one after another.
+  // Serves everything that is in_flight, `count` requests of class `cls` one after another.
   void warm_up(std::uint32_t cls, int count, Duration time = milliseconds(50)) {
     for (int i = 0; i < count; ++i) {
       request(cls);
       advance(time, time);
-      while (!out.empty()) {
-        serve(Sent(out.front()));
+      while (!in_flight.empty()) {
+        serve(SentAttempt(in_flight.front()));
       }
     }
   }
-  Sent last_sent() const { return sent.back(); }
-  bool refused(RequestId id) const {
-    return answers.count(id) && answers.at(id) == Answer::rejected;
+  SentAttempt last_sent() const { return sent.back(); }
+  bool rejected(RequestId id) const {
+    return gateway_responses.count(id) && gateway_responses.at(id) == Answer::rejected;
+  }
+  bool failed(RequestId id) const {
+    return gateway_responses.count(id) && gateway_responses.at(id) == Answer::failed;
   }
-  bool failed(RequestId id) const { return answers.count(id) && answers.at(id) == Answer::failed; }
   HostId host(int number) const { return balancer.find_host(make_host(number).address); }
   std::size_t sent_to(HostId id) const {
     std::size_t n = 0;
-    for (const Sent& s : sent) {
+    for (const SentAttempt& s : sent) {
       n += s.host == id;
     }
     return n;
@@ -159,27 +162,27 @@
   template <class ActionType>
   std::size_t count() const {
     std::size_t n = 0;
-    for (const Action& action : all) {
+    for (const Action& action : actions) {
       n += std::holds_alternative<ActionType>(action);
     }
     return n;
   }
-  void forget() {
+  void clear_history() {
     sent.clear();
-    all.clear();
+    actions.clear();
   }
 
   void collect() {
     for (Action& action : balancer.actions()) {
       if (const auto* send = std::get_if<SendAttempt>(&action)) {
         sent.push_back({send->request, send->attempt, send->host, now, send->timeout});
-        out.push_back(sent.back());
+        in_flight.push_back(sent.back());
       } else if (const auto* rejection = std::get_if<RejectRequest>(&action)) {
         record_answer(rejection->request, Answer::rejected, rejection->retry_after);
       } else if (const auto* failure = std::get_if<FailRequest>(&action)) {
         record_answer(failure->request, Answer::failed, Duration{});
       }
-      all.push_back(std::move(action));
+      actions.push_back(std::move(action));
     }
     balancer.actions().clear();
   }
@@ -187,15 +190,15 @@
   Time now;
   Balancer balancer;
   RequestId last = 0;
-  std::vector<Sent> sent, out;
-  std::vector<Action> all;
-  std::map<RequestId, Answer> answers;
+  std::vector<SentAttempt> sent, in_flight;
+  std::vector<Action> actions;
+  std::map<RequestId, Answer> gateway_responses;
   std::map<RequestId, Duration> retry_after;
 
  private:
   void record_answer(RequestId id, Answer answer, Duration retry_after_time) {
-    EXPECT_EQ(answers.count(id), 0u) << "answered twice";
-    answers[id] = answer;
+    EXPECT_EQ(gateway_responses.count(id), 0u) << "answered twice";
+    gateway_responses[id] = answer;
     retry_after[id] = retry_after_time;
   }
 };
--- a/tests/support/gateway_fixture.hpp
+++ b/tests/support/gateway_fixture.hpp
@@ -22,7 +22,7 @@
   Gateway::Waits waits;
   std::unique_ptr<Gateway> gateway;
   int serial = 0;
-  std::vector<std::string> reached;  // uid of the host of each attempt, in order
+  std::vector<std::string> attempted_hosts;  // uid of the host of each attempt, in order
 
   // Called for each attempt with its number over all hosts.
   using Script = std::function<void(PeerConnection&, std::size_t)>;
@@ -31,8 +31,8 @@
                          const std::string& state = "SERVING") {
     const std::string uid = "s-" + std::to_string(hosts.size());
     hosts.push_back(std::make_unique<Peer>(io, [this, uid, script](PeerConnection& c) {
-      reached.push_back(uid);
-      script(c, reached.size() - 1);
+      attempted_hosts.push_back(uid);
+      script(c, attempted_hosts.size() - 1);
     }));
     discovery.list.push_back(target(uid, hosts.back()->endpoint, zone, state));
     return hosts.back()->endpoint;
@@ -51,8 +51,8 @@
     return run_until(io, predicate);
   }
   std::shared_ptr<Client> client() { return Client::connect(io, gateway->listening()); }
-  std::string text(const std::string& kind, const std::string& headers = "",
-                   const std::string& body = "") {
+  std::string request_text(const std::string& kind, const std::string& headers = "",
+                           const std::string& body = "") {
     const std::string id = "X-Request-Id: r" + std::to_string(++serial) + "\r\n";
     if (kind == "read") {
       return "GET /read HTTP/1.1\r\nHost: x\r\nX-Class: read\r\n" + id + headers + "\r\n";
@@ -62,35 +62,35 @@
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
   // Sends one request on a new connection and returns its response; empty if closed without one.
-  Response ask(const std::string& what) {
+  Response send_request(const std::string& what) {
     auto c = client();
     c->send(what);
-    EXPECT_TRUE(until([&] { return !c->answers.empty() || c->closed_by_peer; }));
-    if (c->answers.empty()) {
+    EXPECT_TRUE(until([&] { return !c->responses.empty() || c->closed_by_peer; }));
+    if (c->responses.empty()) {
       return {};
     }
-    return c->answers.front();
+    return c->responses.front();
   }
-  static Script always(const std::string& reply) {
+  static Script always_reply(const std::string& reply) {
     return [reply](PeerConnection& c, std::size_t) {
       c.reply(reply);
     };
   }
   // The first attempt of all runs `wrong`, each later one is served.
-  static Script first(std::function<void(PeerConnection&)> wrong) {
+  static Script first_attempt(std::function<void(PeerConnection&)> wrong) {
     return [wrong](PeerConnection& c, std::size_t n) {
       if (n == 0) {
         wrong(c);
       } else {
-        c.reply(answer_text(200, "", "late"));
+        c.reply(response_text(200, "", "late"));
       }
     };
   }
-  void shorten(std::size_t cls) {
+  void shorten_class_times(std::size_t cls) {
     config["settings"]["grades"][cls]["aimNs"] = 400'000'000;
     config["settings"]["grades"][cls]["giveUpNs"] = 1'000'000'000;
   }
-  void two_hosts(const Script& script) {
+  void start_with_two_hosts(const Script& script) {
     add_host("a", script);
     add_host("a", script);
     start();
--- a/tests/support/network_peers.hpp
+++ b/tests/support/network_peers.hpp
@@ -30,12 +30,12 @@
 using Request = beast_http::request<beast_http::string_body>;
 using Response = beast_http::response<beast_http::string_body>;
 
-inline constexpr auto kPatience = std::chrono::seconds(30);
+inline constexpr auto kWaitTimeout = std::chrono::seconds(30);
 
-// Runs the event loop until the predicate is true, at most for kPatience.
+// Runs the event loop until the predicate is true, at most for kWaitTimeout.
 template <class Predicate>
 ::testing::AssertionResult run_until(asio::io_context& io, Predicate predicate) {
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
   while (!predicate()) {
     if (std::chrono::steady_clock::now() > end) {
       return ::testing::AssertionFailure() << "waited in vain";
@@ -52,7 +52,7 @@
 inline std::string text_of(const tcp::endpoint& e) {
   return e.address().to_string() + ":" + std::to_string(e.port());
 }
-inline std::string answer_text(int status, const std::string& headers, const std::string& body) {
+inline std::string response_text(int status, const std::string& headers, const std::string& body) {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + headers +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
@@ -168,8 +168,8 @@
 
   void push(json changes) {
     changes["rev"] = ++version;
-    for (auto& c : std::exchange(held, {})) {
-      c->reply(answer_text(200, "", changes.dump()));
+    for (auto& c : std::exchange(pending_watches, {})) {
+      c->reply(response_text(200, "", changes.dump()));
     }
   }
 
@@ -177,21 +177,21 @@
   json list = json::array();
   int version = 1;
   bool failing = false;
-  std::vector<std::string> targets;
-  std::vector<std::shared_ptr<PeerConnection>> held;
+  std::vector<std::string> request_targets;
+  std::vector<std::shared_ptr<PeerConnection>> pending_watches;
 
  private:
   void asked(PeerConnection& c) {
-    targets.push_back(c.request.target().to_string());
+    request_targets.push_back(c.request.target().to_string());
     if (failing) {
-      return c.reply(answer_text(503, "Connection: close\r\n", ""), true);
+      return c.reply(response_text(503, "Connection: close\r\n", ""), true);
     }
-    const bool waits = targets.back().find("timeout_ms=20000") != std::string::npos;
+    const bool waits = request_targets.back().find("timeout_ms=20000") != std::string::npos;
     if (waits) {
-      return held.push_back(c.shared_from_this());
+      return pending_watches.push_back(c.shared_from_this());
     }
-    const bool full = targets.back().find("since=") == std::string::npos;
-    c.reply(answer_text(
+    const bool full = request_targets.back().find("since=") == std::string::npos;
+    c.reply(response_text(
         200, "",
         json{{"rev", version}, {"all", full}, {"targets", full ? list : json::array()}}.dump()));
   }
@@ -213,7 +213,7 @@
   }
   void close() { socket_.close(); }
 
-  std::vector<Response> answers;
+  std::vector<Response> responses;
   bool closed_by_peer = false;
 
  private:
@@ -227,7 +227,7 @@
                                self->closed_by_peer = true;
                                return;
                              }
-                             self->answers.push_back(self->parser_->release());
+                             self->responses.push_back(self->parser_->release());
                              self->read();
                            });
   }
