--- a/tests/support/balancer_driver.hpp
+++ b/tests/support/balancer_driver.hpp
@@ -1,5 +1,5 @@
-// Feeds a Balancer by hand and keeps its actions. No model of a server: each test says what
-// happens.
+// Drives a Balancer in virtual time and records its actions. There is no model of a host: the test
+// reports the result of each attempt itself. Not thread-safe.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -16,19 +16,23 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-inline ClassSettings make_class(const std::string& name, Idempotency effect, double worth,
-                                DeduplicationScope group = DeduplicationScope::global) {
+// A class with a latency objective of 400 ms and clients that wait 1 s.
+inline ClassSettings make_class(const std::string& name, Idempotency idempotency,
+                                double priority_weight,
+                                DeduplicationScope scope = DeduplicationScope::global) {
   ClassSettings c;
   c.name = name;
   c.latency_objective = milliseconds(400);
   c.client_timeout = milliseconds(1000);
   c.deduplication_window = milliseconds(800);
-  c.idempotency = effect;
-  c.deduplication_scope = group;
-  c.priority_weight = worth;
+  c.idempotency = idempotency;
+  c.deduplication_scope = scope;
+  c.priority_weight = priority_weight;
   return c;
 }
 
+// One gateway in zone "east" with the classes 0 "read" (idempotent, priority weight 10), 1 "write"
+// (non-idempotent, weight 1) and 2 "put" (deduplicated within a cell, weight 1).
 inline Settings make_settings() {
   Settings s;
   s.seed = 7;
@@ -45,6 +49,7 @@
   return s;
 }
 
+// The endpoint "host-<100 + number>".
 inline Endpoint make_host(int number, const std::string& zone = "east", std::int64_t cell = 0) {
   Endpoint e;
   e.address = "host-" + std::to_string(100 + number);
@@ -54,6 +59,7 @@
   return e;
 }
 
+// A SendAttempt action with the time at which it was returned.
 struct SentAttempt {
   RequestId request;
   std::uint32_t attempt;
@@ -62,7 +68,7 @@
   Duration timeout;
 };
 
-// All fields of an action, to compare the actions of two runs.
+// Formats the fields of an action, to compare the actions of two runs.
 inline std::string describe(const Action& action) {
   const auto text = [](auto... values) {
     return ((std::to_string(values) + ":") + ...);
@@ -89,11 +95,14 @@
       action);
 }
 
-// How a request ended without a response of a host.
-enum class Answer { rejected, failed };
+// The gateway's own response to a request that ends without a host's response.
+enum class GatewayResponse { rejected, failed };
 
+// Calls a Balancer with events at the virtual time `now` and collects the actions after each event.
+// A second gateway response to one request fails the test.
 class Driver {
  public:
+  // Starts with a restored list of `hosts` hosts in zone "east", alternating between cells 0 and 1.
   explicit Driver(const Settings& s, int hosts = 6) : now(seconds(100)), balancer(s, now) {
     std::vector<Endpoint> list;
     for (int i = 0; i < hosts; ++i) {
@@ -103,21 +112,26 @@
     collect();
   }
 
-  RequestId request(std::uint32_t cls, Duration left = milliseconds(1000), std::uint64_t key = 0) {
+  // Sends a request whose client waits for `time_remaining`. Key 0 stands for a request without
+  // key.
+  RequestId request(std::uint32_t cls, Duration time_remaining = milliseconds(1000),
+                    std::uint64_t key = 0) {
     Request q;
     q.id = ++last;
     q.class_index = cls;
-    q.time_remaining = left;
+    q.time_remaining = time_remaining;
     q.key = key;
     q.has_key = key != 0;
     balancer.on_request(now, q);
     collect();
     return q.id;
   }
-  void report_result(const SentAttempt& s, AttemptOutcome outcome, bool terminal,
-                     Duration taken = Duration(-1)) {
+  // Reports the result of an attempt; a negative `elapsed` stands for the time since it was sent.
+  // `is_final`: the client needs no further response.
+  void report_result(const SentAttempt& s, AttemptOutcome outcome, bool is_final,
+                     Duration elapsed = Duration(-1)) {
     balancer.on_attempt_result(now, {s.request, s.attempt, s.host, outcome,
-                                     taken < Duration{} ? now - s.at : taken, terminal});
+                                     elapsed < Duration{} ? now - s.at : elapsed, is_final});
     for (std::size_t i = 0; i < in_flight.size(); ++i) {
       if (in_flight[i].request == s.request && in_flight[i].attempt == s.attempt) {
         in_flight.erase(in_flight.begin() + static_cast<std::ptrdiff_t>(i));
@@ -126,7 +140,9 @@
     }
     collect();
   }
+  // Reports that an attempt succeeded.
   void serve(const SentAttempt& s) { report_result(s, AttemptOutcome::success, true); }
+  // Advances the time and wakes the Balancer after every `step`. The last step may overshoot.
   void advance(Duration by, Duration step = milliseconds(5)) {
     for (const Time end = now + by; now < end;) {
       now += step;
@@ -134,24 +150,28 @@
       collect();
     }
   }
-  // Serves everything that is in_flight, `count` requests of class `cls` one after another.
-  void warm_up(std::uint32_t cls, int count, Duration time = milliseconds(50)) {
+  // Sends `count` requests of class `cls` and after each one, `response_time` later, serves every
+  // attempt in flight.
+  void warm_up(std::uint32_t cls, int count, Duration response_time = milliseconds(50)) {
     for (int i = 0; i < count; ++i) {
       request(cls);
-      advance(time, time);
+      advance(response_time, response_time);
       while (!in_flight.empty()) {
         serve(SentAttempt(in_flight.front()));
       }
     }
   }
+  // The latest attempt that was sent; there must be one.
   SentAttempt last_sent() const { return sent.back(); }
   bool rejected(RequestId id) const {
-    return gateway_responses.count(id) && gateway_responses.at(id) == Answer::rejected;
+    return gateway_responses.count(id) && gateway_responses.at(id) == GatewayResponse::rejected;
   }
   bool failed(RequestId id) const {
-    return gateway_responses.count(id) && gateway_responses.at(id) == Answer::failed;
+    return gateway_responses.count(id) && gateway_responses.at(id) == GatewayResponse::failed;
   }
+  // The id of make_host(number).
   HostId host(int number) const { return balancer.find_host(make_host(number).address); }
+  // Attempts sent to a host since the start or clear_history().
   std::size_t sent_to(HostId id) const {
     std::size_t n = 0;
     for (const SentAttempt& s : sent) {
@@ -159,6 +179,7 @@
     }
     return n;
   }
+  // Actions of a type since the start or clear_history().
   template <class ActionType>
   std::size_t count() const {
     std::size_t n = 0;
@@ -167,20 +188,22 @@
     }
     return n;
   }
+  // Drops the recorded attempts and actions. Attempts in flight and gateway responses stay.
   void clear_history() {
     sent.clear();
     actions.clear();
   }
-
+  // Takes over the Balancer's pending actions; needed only after a direct call of `balancer`.
   void collect() {
     for (Action& action : balancer.actions()) {
       if (const auto* send = std::get_if<SendAttempt>(&action)) {
         sent.push_back({send->request, send->attempt, send->host, now, send->timeout});
         in_flight.push_back(sent.back());
       } else if (const auto* rejection = std::get_if<RejectRequest>(&action)) {
-        record_answer(rejection->request, Answer::rejected, rejection->retry_after);
+        record_gateway_response(rejection->request, GatewayResponse::rejected,
+                                rejection->retry_after);
       } else if (const auto* failure = std::get_if<FailRequest>(&action)) {
-        record_answer(failure->request, Answer::failed, Duration{});
+        record_gateway_response(failure->request, GatewayResponse::failed, Duration{});
       }
       actions.push_back(std::move(action));
     }
@@ -189,16 +212,16 @@
 
   Time now;
   Balancer balancer;
-  RequestId last = 0;
-  std::vector<SentAttempt> sent, in_flight;
+  RequestId last = 0;                        // id of the latest request
+  std::vector<SentAttempt> sent, in_flight;  // in flight: without a result so far
   std::vector<Action> actions;
-  std::map<RequestId, Answer> gateway_responses;
-  std::map<RequestId, Duration> retry_after;
+  std::map<RequestId, GatewayResponse> gateway_responses;
+  std::map<RequestId, Duration> retry_after;  // of the gateway responses; zero: none
 
  private:
-  void record_answer(RequestId id, Answer answer, Duration retry_after_time) {
-    EXPECT_EQ(gateway_responses.count(id), 0u) << "answered twice";
-    gateway_responses[id] = answer;
+  void record_gateway_response(RequestId id, GatewayResponse response, Duration retry_after_time) {
+    EXPECT_EQ(gateway_responses.count(id), 0u) << "second gateway response to a request";
+    gateway_responses[id] = response;
     retry_after[id] = retry_after_time;
   }
 };
--- a/tests/support/fleet_simulator.hpp
+++ b/tests/support/fleet_simulator.hpp
@@ -1,6 +1,6 @@
-// A fleet in virtual time: the pure membership state machines of many members on a simulated
-// network that loses, delays and blocks datagrams. One seed determines the whole run; a failing
-// test prints it.
+// A fleet in virtual time: the membership state machines of many members on a simulated network
+// that loses, delays and blocks datagrams. One seed determines the whole run; a failing test prints
+// it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -30,8 +30,10 @@
 using membership::Message;
 using membership::Time;
 
+// Runs `count` members named g0, g1, ... Only members that were started take part. Not thread-safe.
 class FleetSimulator {
  public:
+  // What a process that continues after a pause handles first.
   enum class ResumeOrder { datagrams_first, timer_first };
 
   struct Node {
@@ -47,19 +49,21 @@
     double loss = 0;  // probability that a datagram is lost
     bool blocked = false;
     Duration delay = 500us;
-    Duration jitter = 500us;
+    Duration jitter = 500us;  // upper bound of the random addition to the delay
   };
 
   // Called for each change in a member's view.
   std::function<void(Time, const std::string& observer, const MemberChange&)> on_change;
+  // Properties of the path of a datagram, asked for each datagram.
   std::function<Link(std::size_t from, std::size_t to)> link = [](std::size_t, std::size_t) {
     return Link{};
   };
-  // The payload that travels with a datagram, and its delivery.
+  // Returns the payload of at most `max_bytes` that a datagram carries.
   std::function<std::string(std::size_t from, const std::string& to, std::size_t max_bytes)>
       payload_for;
+  // Called at the recipient of a payload, before the membership handles the message.
   std::function<void(std::size_t to, const Message&)> on_payload;
-  membership::Settings settings;
+  membership::Settings settings;  // of members started from now on; name and address are set here
   std::vector<Node> nodes;
 
   FleetSimulator(std::size_t count, std::uint64_t seed) : seed_(seed), random_(seed) {
@@ -78,6 +82,8 @@
   Membership& at(std::size_t i) { return *nodes[i].membership; }
   bool is_running(std::size_t i) const { return nodes[i].membership != nullptr; }
 
+  // Starts a process of member i, which joins through up to three of the first members. Without
+  // `boot_id`, the clock in milliseconds serves as the boot id.
   void start(std::size_t i, std::optional<std::uint64_t> boot_id = {}) {
     membership::Settings own_settings = settings;
     own_settings.name = name(i);
@@ -100,6 +106,7 @@
       start(i);
     }
   }
+  // Ends the process without a message to the others.
   void kill(std::size_t i) {
     nodes[i].membership.reset();
     nodes[i].buffered.clear();
@@ -113,8 +120,9 @@
     at(i).send_payload_to(name);
     process_results(i);
   }
+  // Stops the process; datagrams are buffered until resume().
   void pause(std::size_t i) { nodes[i].paused = true; }
-  // A process that continues may find its timer due before it reads what has arrived.
+  // The timer of a process that continues may be due before it reads the buffered datagrams.
   void resume(std::size_t i, ResumeOrder order = ResumeOrder::datagrams_first) {
     nodes[i].paused = false;
     if (order == ResumeOrder::timer_first) {
@@ -125,6 +133,7 @@
     }
     run_timer(i);
   }
+  // Runs `action` at a virtual time, after earlier scheduled actions of the same time.
   void schedule(Time when, std::function<void()> action) {
     events_.push({when, ++last_event_, std::move(action)});
   }
@@ -200,7 +209,7 @@
     }
     const auto decoded = membership::decode(datagram, kFleet);
     const Message* message = std::get_if<Message>(&decoded);
-    ASSERT_NE(message, nullptr) << "our own datagram was not decoded, seed " << seed_;
+    ASSERT_NE(message, nullptr) << "a datagram encoded here was not decoded, seed " << seed_;
     if (on_payload && !message->payload.empty()) {
       on_payload(i, *message);
     }
@@ -264,7 +273,7 @@
   std::priority_queue<Event> events_;
 };
 
-// A link function for a network partition: members reach only those of the same part.
+// A link function for a partitioned network: members reach only those of the same part.
 inline std::function<FleetSimulator::Link(std::size_t, std::size_t)> partitioned_by(
     std::function<int(std::size_t)> part_of) {
   return [part_of = std::move(part_of)](std::size_t from, std::size_t to) {
--- a/tests/support/gateway_fixture.hpp
+++ b/tests/support/gateway_fixture.hpp
@@ -1,4 +1,4 @@
-// Fixture: a gateway with scripted hosts, clients and discovery on one event loop.
+// Test fixture: a gateway with scripted hosts, clients and discovery on one event loop.
 #pragma once
 
 #include <algorithm>
@@ -24,9 +24,10 @@
   int serial = 0;
   std::vector<std::string> attempted_hosts;  // uid of the host of each attempt, in order
 
-  // Called for each attempt with its number over all hosts.
+  // A host's behaviour: called for each attempt with the attempt's number over all hosts, from 0.
   using Script = std::function<void(PeerConnection&, std::size_t)>;
 
+  // Starts a host and adds it to the endpoint list; its uid is "s-<number>", counted from 0.
   tcp::endpoint add_host(const std::string& zone, Script script,
                          const std::string& state = "SERVING") {
     const std::string uid = "s-" + std::to_string(hosts.size());
@@ -37,6 +38,7 @@
     discovery.list.push_back(target(uid, hosts.back()->endpoint, zone, state));
     return hosts.back()->endpoint;
   }
+  // Starts the gateway. Unless `config` names a known endpoint list, it knows all hosts so far.
   void start() {
     config["discovery"] = text_of(discovery.peer.endpoint);
     if (!config.contains("known")) {
@@ -51,20 +53,21 @@
     return run_until(io, predicate);
   }
   std::shared_ptr<Client> client() { return Client::connect(io, gateway->listening()); }
-  std::string request_text(const std::string& kind, const std::string& headers = "",
+  // A request of a class ("read", "write" or "put") with an id of its own.
+  std::string request_text(const std::string& class_name, const std::string& headers = "",
                            const std::string& body = "") {
     const std::string id = "X-Request-Id: r" + std::to_string(++serial) + "\r\n";
-    if (kind == "read") {
+    if (class_name == "read") {
       return "GET /read HTTP/1.1\r\nHost: x\r\nX-Class: read\r\n" + id + headers + "\r\n";
     }
-    return "POST /" + kind + " HTTP/1.1\r\nHost: x\r\nX-Class: " + kind + "\r\n" + id + headers +
-           (kind == "put" ? "Idempotency-Key: k1\r\n" : "") +
+    return "POST /" + class_name + " HTTP/1.1\r\nHost: x\r\nX-Class: " + class_name + "\r\n" + id +
+           headers + (class_name == "put" ? "Idempotency-Key: k1\r\n" : "") +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
   // Sends one request on a new connection and returns its response; empty if closed without one.
-  Response send_request(const std::string& what) {
+  Response send_request(const std::string& request) {
     auto c = client();
-    c->send(what);
+    c->send(request);
     EXPECT_TRUE(until([&] { return !c->responses.empty() || c->closed_by_peer; }));
     if (c->responses.empty()) {
       return {};
@@ -76,16 +79,17 @@
       c.reply(reply);
     };
   }
-  // The first attempt of all runs `wrong`, each later one is served.
-  static Script first_attempt(std::function<void(PeerConnection&)> wrong) {
-    return [wrong](PeerConnection& c, std::size_t n) {
+  // Runs `fault` on the very first attempt and responds to each later one with status 200.
+  static Script first_attempt(std::function<void(PeerConnection&)> fault) {
+    return [fault](PeerConnection& c, std::size_t n) {
       if (n == 0) {
-        wrong(c);
+        fault(c);
       } else {
         c.reply(response_text(200, "", "late"));
       }
     };
   }
+  // Sets the latency objective to 400 ms and the client timeout to 1 s; call before start().
   void shorten_class_times(std::size_t cls) {
     config["settings"]["grades"][cls]["aimNs"] = 400'000'000;
     config["settings"]["grades"][cls]["giveUpNs"] = 1'000'000'000;
--- a/tests/support/manual_clock.hpp
+++ b/tests/support/manual_clock.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// A clock that a test advances. Timers fire in the order of their times; the system's clock plays
-/// no part.
+/// A clock that only a test advances. Timers fire in the order of their times, independently of the
+/// system's clock. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -22,7 +22,7 @@
     return std::make_unique<ManualTimer>(pending_);
   }
   bool has_pending_timers() const { return !pending_->empty(); }
-  /// When the next timer fires; there must be one.
+  /// Time at which the next timer fires; there must be one.
   TimePoint next_expiry() const { return pending_->begin()->first; }
   /// Advances to the next timer's time, but not past `limit`, and fires that one timer if it was
   /// reached.
--- a/tests/support/network_peers.hpp
+++ b/tests/support/network_peers.hpp
@@ -1,5 +1,6 @@
 // Scripted peers on loopback for the gateway's tests: hosts, clients and discovery, all on the
-// test's own event loop. Nothing sleeps: a test waits for what it expects, for a generous time.
+// test's own event loop and thread. Tests wait for a condition instead of a fixed time, at
+// most for kWaitTimeout.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -30,15 +31,17 @@
 using Request = beast_http::request<beast_http::string_body>;
 using Response = beast_http::response<beast_http::string_body>;
 
+// Limit of every wait; long, so that a slow machine does not fail a test.
 inline constexpr auto kWaitTimeout = std::chrono::seconds(30);
 
-// Runs the event loop until the predicate is true, at most for kWaitTimeout.
+// Runs the event loop until the predicate is true, at most for kWaitTimeout. The result is a
+// failure if it did not become true.
 template <class Predicate>
 ::testing::AssertionResult run_until(asio::io_context& io, Predicate predicate) {
   const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
   while (!predicate()) {
     if (std::chrono::steady_clock::now() > end) {
-      return ::testing::AssertionFailure() << "waited in vain";
+      return ::testing::AssertionFailure() << "condition not met within 30 s";
     }
     io.restart();
     io.run_one_for(std::chrono::milliseconds(50));
@@ -46,18 +49,22 @@
   return ::testing::AssertionSuccess();
 }
 
+// 127.0.0.1; port 0 lets the system choose the port.
 inline tcp::endpoint loopback(unsigned short port = 0) {
   return {asio::ip::make_address("127.0.0.1"), port};
 }
+// ADDRESS:PORT
 inline std::string text_of(const tcp::endpoint& e) {
   return e.address().to_string() + ":" + std::to_string(e.port());
 }
+// A whole response; `headers` is empty or ends with a line break.
 inline std::string response_text(int status, const std::string& headers, const std::string& body) {
   return "HTTP/1.1 " + std::to_string(status) + " X\r\n" + headers +
          "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-// A connection accepted by a peer: reads requests one after the other and hands them to the script.
+// A connection that a Peer has accepted. Reads requests one after another and calls the script for
+// each. Kept alive by its Peer and by pending operations.
 class PeerConnection : public std::enable_shared_from_this<PeerConnection> {
  public:
   using Script = std::function<void(PeerConnection&)>;
@@ -75,14 +82,15 @@
                                return;
                              }
                              self->request = self->parser_->release();
-                             // Reads on at once, so that the other side's closing is seen while the
-                             // script makes it wait.
+                             // Watches at once, so that closing by the other side is noticed while
+                             // the script delays its reply.
                              self->script_(*self);
                              if (self->open) {
                                self->watch();
                              }
                            });
   }
+  // Writes any text, also one that is no valid response.
   void reply(const std::string& text, bool then_close = false) {
     auto buffer = std::make_shared<std::string>(text);
     asio::async_write(socket_, asio::buffer(*buffer),
@@ -97,16 +105,18 @@
     error_code ignored;
     socket_.close(ignored);
   }
+  // Closes with a TCP reset.
   void reset() {
     error_code ignored;
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
     close();
   }
 
-  Request request;
+  Request request;  // the latest one
   bool open = true, closed_by_peer = false;
 
  private:
+  // Reads the next request as soon as there is something to read.
   void watch() {
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code ec) {
       if (!ec && self->open) {
@@ -121,7 +131,8 @@
   Script script_;
 };
 
-class Peer {  // a server with a script
+// A server on loopback that calls the script for each request. The connections are closed with it.
+class Peer {
  public:
   Peer(asio::io_context& io, PeerConnection::Script s)
       : script(std::move(s)), acceptor_(io, loopback()) {
@@ -160,12 +171,14 @@
   tcp::acceptor acceptor_;
 };
 
-// Answers polls at once and keeps watches open until something is pushed.
+// Service discovery: responds to polls at once, and to watches (long polls with
+// timeout_ms=20000) when push() is called.
 class FakeDiscovery {
  public:
   explicit FakeDiscovery(asio::io_context& io)
-      : peer(io, [this](PeerConnection& c) { asked(c); }) {}
+      : peer(io, [this](PeerConnection& c) { respond(c); }) {}
 
+  // Responds to all pending watches with `changes` under the next version.
   void push(json changes) {
     changes["rev"] = ++version;
     for (auto& c : std::exchange(pending_watches, {})) {
@@ -174,30 +187,31 @@
   }
 
   Peer peer;
-  json list = json::array();
+  json list = json::array();  // the endpoint list that a poll without `since` returns
   int version = 1;
-  bool failing = false;
+  bool failing = false;  // responds with status 503 and closes the connection
   std::vector<std::string> request_targets;
   std::vector<std::shared_ptr<PeerConnection>> pending_watches;
 
  private:
-  void asked(PeerConnection& c) {
+  void respond(PeerConnection& c) {
     request_targets.push_back(c.request.target().to_string());
     if (failing) {
       return c.reply(response_text(503, "Connection: close\r\n", ""), true);
     }
-    const bool waits = request_targets.back().find("timeout_ms=20000") != std::string::npos;
-    if (waits) {
+    const bool is_watch = request_targets.back().find("timeout_ms=20000") != std::string::npos;
+    if (is_watch) {
       return pending_watches.push_back(c.shared_from_this());
     }
-    const bool full = request_targets.back().find("since=") == std::string::npos;
+    const bool is_full = request_targets.back().find("since=") == std::string::npos;
     c.reply(response_text(
         200, "",
-        json{{"rev", version}, {"all", full}, {"targets", full ? list : json::array()}}.dump()));
+        json{{"rev", version}, {"all", is_full}, {"targets", is_full ? list : json::array()}}
+            .dump()));
   }
 };
 
-// A client's connection. Sends any text; keeps the answers.
+// A client's connection. Sends any text and records the responses.
 class Client : public std::enable_shared_from_this<Client> {
  public:
   static std::shared_ptr<Client> connect(asio::io_context& io, const tcp::endpoint& to) {
@@ -236,19 +250,21 @@
   std::optional<beast_http::response_parser<beast_http::string_body>> parser_;
 };
 
-// Times so long that a slow machine changes no verdict; a test that waits for their end shortens
-// them.
-inline json class_json(const std::string& name, const std::string& effect,
-                       const std::string& group = "all") {
+// Settings of a request class with times of 20 s, so that no deadline passes on a slow machine. A
+// test that waits for a deadline shortens them.
+inline json class_json(const std::string& name, const std::string& idempotency,
+                       const std::string& deduplication_scope = "all") {
   return {{"name", name},
-          {"effect", effect},
-          {"group", group},
+          {"effect", idempotency},
+          {"group", deduplication_scope},
           {"aimNs", 20'000'000'000},
           {"giveUpNs", 20'000'000'000},
           {"windowNs", 20'000'000'000},
           {"points", 1.0}};
 }
 
+// Configuration of a gateway in zone "a" with the classes 0 "read" (idempotent), 1 "write"
+// (non-idempotent) and 2 "put" (deduplicated within a zone).
 inline json config_json() {
   return {{"name", "n0"},
           {"listen", "127.0.0.1:0"},
@@ -276,6 +292,7 @@
                                     class_json("put", "dedup", "zone")})}}}};
 }
 
+// An entry of the endpoint list.
 inline json target(const std::string& uid, const tcp::endpoint& endpoint,
                    const std::string& zone = "a", const std::string& state = "SERVING") {
   return {{"uid", uid},           {"endpoint", text_of(endpoint)},
