--- a/src/load_balancer/admission_controller.cpp
+++ b/src/load_balancer/admission_controller.cpp
@@ -80,10 +80,10 @@
                       class_state.settings.latency_objective),
              class_state.settings.late_value_fraction);
   mean_latency_objective_ +=
-      kNormGain *
+      kMovingAverageGain *
       (to_seconds(class_state.settings.latency_objective + late) - mean_latency_objective_);
   if (class_state.typical_latency > 0) {
-    mean_service_time_ += (mean_service_time_ > 0 ? kNormGain : 1.0) *
+    mean_service_time_ += (mean_service_time_ > 0 ? kMovingAverageGain : 1.0) *
                           (class_state.typical_latency * request.cost - mean_service_time_);
   }
   arrivals_ += 1;
@@ -114,8 +114,9 @@
   // stand in.
   const double first = kInitialInFlightPerHost / context_.settings.gateway_count;
   const double floor = kMinInFlightPerHost / context_.settings.gateway_count;
-  const double least =
-      context_.now - context_.started < 10 * kSweep ? first : std::max(floor, baseline_in_flight_);
+  const double least = context_.now - context_.started < 10 * kSweepInterval
+                           ? first
+                           : std::max(floor, baseline_in_flight_);
   return ease *
          std::max(success_rate_ * mean_latency_objective_ * kMaxFractionOfObjective, least * count);
 }
@@ -130,17 +131,18 @@
 }
 
 void AdmissionController::sweep() {
-  success_rate_ += fast_gain() * (successes_in_time_ / to_seconds(kSweep) - success_rate_);
+  success_rate_ += fast_gain() * (successes_in_time_ / to_seconds(kSweepInterval) - success_rate_);
   ++sweeps_;
   arrival_rate_ +=
-      std::max(kSlowGain, 1 / sweeps_) * (arrivals_ / to_seconds(kSweep) - arrival_rate_);
+      std::max(kSlowGain, 1 / sweeps_) * (arrivals_ / to_seconds(kSweepInterval) - arrival_rate_);
   successes_in_time_ = arrivals_ = 0;
   if (utilization_ > 0) {
-    in_flight_headroom_ = std::clamp(
-        in_flight_headroom_ * std::exp((utilization_ > kTargetUtilization ? kHeadroomShrinkRate
-                                                                          : kHeadroomGrowthRate) *
-                                       to_seconds(kSweep) * (kTargetUtilization - utilization_)),
-        kMinHeadroom, kMaxHeadroom);
+    in_flight_headroom_ =
+        std::clamp(in_flight_headroom_ *
+                       std::exp((utilization_ > kTargetUtilization ? kHeadroomShrinkRate
+                                                                   : kHeadroomGrowthRate) *
+                                to_seconds(kSweepInterval) * (kTargetUtilization - utilization_)),
+                   kMinHeadroom, kMaxHeadroom);
   }
   baseline_in_flight_ *= 1 - kBaselineDecay;
   if (shedding_threshold_ <= 1 && !fleet_.listed().empty()) {
--- a/src/load_balancer/balancer.cpp
+++ b/src/load_balancer/balancer.cpp
@@ -54,7 +54,7 @@
   impl_->event(now, [&] {
     impl_->discovery_poller.on_endpoint_update(kind);
     if (kind != EndpointUpdateKind::unavailable) {
-      impl_->fleet.on_endpoint_update(kind, entries);
+      impl_->hosts.on_endpoint_update(kind, entries);
     }
   });
 }
@@ -72,18 +72,18 @@
 }
 void Balancer::on_load_report(Time now, HostId host, const LoadReport& report) {
   impl_->event(now, [&] {
-    if (host >= impl_->fleet.size()) {
+    if (host >= impl_->hosts.size()) {
       return;
     }
-    impl_->slow_start.on_load_report(impl_->fleet.at(host), report);
-    impl_->health.on_load_report(impl_->fleet.at(host), report);
+    impl_->slow_start.on_load_report(impl_->hosts.at(host), report);
+    impl_->outlier_detector.on_load_report(impl_->hosts.at(host), report);
   });
 }
 void Balancer::on_client_disconnected(Time now, RequestId request) {
   impl_->event(now, [&] { impl_->scheduler.on_client_disconnected(request); });
 }
 void Balancer::set_maintenance(Time now, const std::string& address, bool in_maintenance) {
-  impl_->event(now, [&] { impl_->fleet.set_maintenance(address, in_maintenance); });
+  impl_->event(now, [&] { impl_->hosts.set_maintenance(address, in_maintenance); });
 }
 void Balancer::set_budget_fraction(Time now, double fraction) {
   impl_->event(now, [&] { impl_->slow_start.set_budget_fraction(fraction); });
@@ -98,10 +98,10 @@
   return impl_->context.actions;
 }
 HostId Balancer::find_host(std::string_view address) const {
-  return impl_->fleet.find(address);
+  return impl_->hosts.find(address);
 }
 const std::string& Balancer::address(HostId host) const {
-  return impl_->fleet.at(host).endpoint.address;
+  return impl_->hosts.at(host).endpoint.address;
 }
 double Balancer::shedding_threshold() const {
   return impl_->admission.shedding_threshold();
--- a/src/load_balancer/components.hpp
+++ b/src/load_balancer/components.hpp
@@ -13,29 +13,31 @@
 struct BalancerComponents {
   Context context;
   ActiveRequests requests;
-  HostSet fleet{context};
+  HostSet hosts{context};
   DiscoveryPoller discovery_poller{context};
-  AdmissionController admission{context, fleet};
-  OutlierDetector health{context, fleet, admission, requests};
-  ConnectionTracker connections{context, fleet};
-  SlowStart slow_start{context, fleet, admission};
-  SelectionContext selection_context{context, fleet, admission, health, connections, slow_start};
+  AdmissionController admission{context, hosts};
+  OutlierDetector outlier_detector{context, hosts, admission, requests};
+  ConnectionTracker connections{context, hosts};
+  SlowStart slow_start{context, hosts, admission};
+  SelectionContext selection_context{context,          hosts,       admission,
+                                     outlier_detector, connections, slow_start};
   HostSelector selector{selection_context};
   RequestScheduler scheduler{selection_context, requests, selector};
   Time next_sweep;
 
-  BalancerComponents(Settings s, Time t) : context(std::move(s), t), next_sweep(t + kSweep) {}
+  BalancerComponents(Settings s, Time t)
+      : context(std::move(s), t), next_sweep(t + kSweepInterval) {}
 
   void on_wake() {
     scheduler.on_wakeup();
     if (context.now < next_sweep) {
       return;
     }
-    next_sweep = context.now + kSweep;
+    next_sweep = context.now + kSweepInterval;
     connections.sweep();
-    health.sweep();
-    fleet.sweep();
-    fleet.resize_subset(admission.confirmed_rate());
+    outlier_detector.sweep();
+    hosts.sweep();
+    hosts.resize_subset(admission.confirmed_rate());
     slow_start.sweep();
     scheduler.sweep();
     admission.sweep();
--- a/src/load_balancer/context.hpp
+++ b/src/load_balancer/context.hpp
@@ -16,9 +16,9 @@
 namespace load_balancer {
 
 // Interval of the statistics: a few response times.
-inline constexpr Duration kSweep = std::chrono::milliseconds(100);
+inline constexpr Duration kSweepInterval = std::chrono::milliseconds(100);
 // Gain per response of a class's typical latency: it covers the last fifty responses.
-inline constexpr double kNormGain = 0.02;
+inline constexpr double kMovingAverageGain = 0.02;
 
 struct Context {
   Settings settings;
--- a/src/load_balancer/host_selector.cpp
+++ b/src/load_balancer/host_selector.cpp
@@ -42,7 +42,7 @@
     if (class_settings.idempotency == Idempotency::non_idempotent) {
       return false;
     }
-    const Endpoint& first = fleet.at(request.attempts[i].host).endpoint;
+    const Endpoint& first = hosts.at(request.attempts[i].host).endpoint;
     if (class_settings.deduplication_scope != DeduplicationScope::global &&
         first.zone != host.endpoint.zone) {
       return false;
@@ -68,7 +68,7 @@
 }
 
 void HostSelector::try_candidate(const ActiveRequest& request, HostId id, bool relaxed) {
-  Host& host = fleet.at(id);
+  Host& host = hosts.at(id);
   if (host.last_selection == selection_number_) {
     return;
   }
@@ -97,41 +97,41 @@
   if (!context.settings.key_affinity || !request.has_key) {
     return 0;
   }
-  if (!fleet.is_large_fleet()) {
+  if (!hosts.is_large_fleet()) {
     return kAffinityHosts;
   }
   const double part = key_frequency_.record(request.key) * kKeyHostFactor *
-                      static_cast<double>(fleet.subset_size());
+                      static_cast<double>(hosts.subset_size());
   return std::max(kMinKeyHosts, static_cast<std::size_t>(part));
 }
 
 void HostSelector::collect_candidates(const ActiveRequest& request, bool relaxed) {
-  const std::size_t width = fleet.subset_size();
+  const std::size_t width = hosts.subset_size();
   ++selection_number_, ready_.clear(), found_idle_ = false;
   if (const std::size_t most = relaxed || width == 0 ? 0 : key_host_count(request); most > 0) {
     for (std::size_t i = 0;
          i < kMaxSamples && ready_.size() < std::min(most, kSamplesWhenIdleFound); ++i) {
       try_candidate(request,
-                    fleet.host_for_key(mix_bits(
+                    hosts.host_for_key(mix_bits(
                         request.key +
                         mix_bits(most <= kSamplesWhenIdleFound ? i : context.draw_below(most)))),
                     false);
     }
   }
   if (!found_idle_ && width > kMaxFullScan && !relaxed) {
-    const std::vector<HostId>& cold_hosts = fleet.own_warming_hosts();
+    const std::vector<HostId>& cold_hosts = hosts.own_warming_hosts();
     for (std::size_t i = 0; i < std::min(cold_hosts.size(), kWarmingSamples); ++i) {
       try_candidate(request, cold_hosts[context.draw_below(cold_hosts.size())], false);
     }
     for (std::size_t i = 0; i < (found_idle_ ? kSamplesWhenIdleFound : kMaxSamples); ++i) {
-      try_candidate(request, fleet.subset_order()[context.draw_below(width)], false);
+      try_candidate(request, hosts.subset_order()[context.draw_below(width)], false);
     }
   }
   if (!ready_.empty()) {
     return;
   }
   ++selection_number_;
-  for (HostId id : fleet.subset_order()) {
+  for (HostId id : hosts.subset_order()) {
     if (found_idle_ && ready_.size() >= width) {
       break;
     }
@@ -145,11 +145,11 @@
                           : host.utilization;  // one not heard of is like the others
   const double thin = admission.uncertainty();
   const double free = std::clamp(1.05 - busy, 0.05, 1.0);
-  const double kept = host.selection_weight * fleet.machine_type_of(host).selection_weight *
-                      health.late_response_penalty(host) *
-                      health.class_success_factor(host, request.class_index);
+  const double kept = host.selection_weight * hosts.machine_type_of(host).selection_weight *
+                      outlier_detector.late_response_penalty(host) *
+                      outlier_detector.class_success_factor(host, request.class_index);
   const double zone = !host.local              ? 1
-                      : fleet.is_large_fleet() ? kLargeFleetZonePreference
+                      : hosts.is_large_fleet() ? kLargeFleetZonePreference
                                                : kLocalZonePreference;
   const double preference =
       zone * (connections.has_open_connection(host) ? 1 + kOpenConnectionPreference * thin : 1);
@@ -158,7 +158,7 @@
 }
 
 HostId HostSelector::select(const ActiveRequest& request) {
-  idle_threshold_ = std::max(kIdleFractionOfMean * fleet.per_listed(fleet.in_flight()), 1.0);
+  idle_threshold_ = std::max(kIdleFractionOfMean * hosts.per_listed(hosts.in_flight()), 1.0);
   collect_candidates(request, false);
   if (ready_.empty()) {
     collect_candidates(request, true);  // no healthy host: any that the rules allow beats none
@@ -169,15 +169,15 @@
   // Among a hundred hosts a thin gateway draws the cold one it could send to once in half a
   // minute; it would stay slow_start. Its budget is small and is spent first.
   for (HostId id : ready_) {
-    if (const Host& host = fleet.at(id); request.attempt_count == 0 && fleet.is_warming_up(host) &&
+    if (const Host& host = hosts.at(id); request.attempt_count == 0 && hosts.is_warming_up(host) &&
                                          idle(host) &&
                                          context.draw_unit() > admission.confidence()) {
       return id;
     }
   }
-  if (context.settings.key_affinity && request.has_key && !fleet.is_large_fleet()) {
+  if (context.settings.key_affinity && request.has_key && !hosts.is_large_fleet()) {
     for (HostId id : ready_) {
-      if (idle(fleet.at(id)) && context.draw_unit() < fleet.at(id).selection_weight) {
+      if (idle(hosts.at(id)) && context.draw_unit() < hosts.at(id).selection_weight) {
         return id;
       }
     }
@@ -187,10 +187,10 @@
   double sum = 0;
   HostId chosen = kNone;
   for (HostId id : ready_) {
-    if (!idle(fleet.at(id))) {
+    if (!idle(hosts.at(id))) {
       continue;
     }
-    const double part = weight(fleet.at(id), request);
+    const double part = weight(hosts.at(id), request);
     sum += part;
     if (context.draw_unit() * sum < part) {
       chosen = id;
@@ -201,10 +201,10 @@
   }
   const HostId a = ready_[context.draw_below(ready_.size())];
   const HostId b = ready_[context.draw_below(ready_.size())];
-  const Host& first = fleet.at(a);
-  const Host& second = fleet.at(b);
-  return load(first) * health.class_success_factor(second, request.class_index) <=
-                 load(second) * health.class_success_factor(first, request.class_index)
+  const Host& first = hosts.at(a);
+  const Host& second = hosts.at(b);
+  return load(first) * outlier_detector.class_success_factor(second, request.class_index) <=
+                 load(second) * outlier_detector.class_success_factor(first, request.class_index)
              ? a
              : b;
 }
--- a/src/load_balancer/host_selector.hpp
+++ b/src/load_balancer/host_selector.hpp
@@ -12,9 +12,9 @@
 // The components that selection and scheduling depend on.
 struct SelectionContext {
   Context& context;
-  HostSet& fleet;
+  HostSet& hosts;
   AdmissionController& admission;
-  OutlierDetector& health;
+  OutlierDetector& outlier_detector;
   ConnectionTracker& connections;
   SlowStart& slow_start;
 };
@@ -32,7 +32,7 @@
  private:
   // Few attempts are in flight; a fast host may have more.
   bool idle(const Host& host) const {
-    return host.in_flight < idle_threshold_ * health.median_relative_latency() /
+    return host.in_flight < idle_threshold_ * outlier_detector.median_relative_latency() /
                                 std::max(host.relative_latency, 0.05);
   }
   double load(const Host& host) const { return (host.in_flight + 1) * host.relative_latency; }
--- a/src/load_balancer/host_set.cpp
+++ b/src/load_balancer/host_set.cpp
@@ -55,7 +55,7 @@
   }
   rebuild_listed();
   for (HostId id = 0; id < hosts_.size(); ++id) {
-    forget_gone(id);
+    forget_if_unused(id);
   }
 }
 
@@ -86,7 +86,7 @@
 
 // Hosts are replaced all day, and each would be kept for good. But its zone binds the
 // repeats of the requests that it had, so its id stays with it till they are over.
-void HostSet::forget_gone(HostId id) {
+void HostSet::forget_if_unused(HostId id) {
   const Host& host = hosts_[id];
   if (host.endpoint.state != EndpointState::removed || host.references > 0 ||
       host.endpoint.address.empty()) {
--- a/src/load_balancer/host_set.hpp
+++ b/src/load_balancer/host_set.hpp
@@ -26,7 +26,7 @@
   // Takes this gateway's rate in requests per second.
   void resize_subset(double rate);
   // Forgets the host if it is removed and no active request names it.
-  void forget_gone(HostId id);
+  void forget_if_unused(HostId id);
 
   HostId size() const { return hosts_.size(); }
   Host& at(HostId id) { return hosts_[id]; }
--- a/src/load_balancer/machine_type.hpp
+++ b/src/load_balancer/machine_type.hpp
@@ -14,10 +14,10 @@
   double selection_weight = 1;  // multiplier in the selection; 1 for the best machine type
 
   // Responses to this gateway by its warm hosts.
-  double served = 0;          // since the last sweep
-  double warm_hosts = 0;      // at the last sweep
-  double success_rate = 0;    // successes per second and host
-  double confirmed_rate = 0;  // highest success_rate, slowly decaying
+  double served = 0;             // since the last sweep
+  double warm_hosts = 0;         // at the last sweep
+  double success_rate = 0;       // successes per second and host
+  double peak_success_rate = 0;  // highest success_rate, slowly decaying
 
   // From load reports, decayed.
   double reported_successes = 0;     // responses to this gateway
--- a/src/load_balancer/outlier_detector.cpp
+++ b/src/load_balancer/outlier_detector.cpp
@@ -61,8 +61,9 @@
       const double sample = std::min(taken / (class_state.typical_latency * request.cost), 20.0);
       host.relative_latency += kLatencyGain * (sample - host.relative_latency);
       MachineType& machine_type = fleet_.machine_type_of(host);
-      machine_type.relative_latency += kNormGain * (sample - machine_type.relative_latency);
-      class_state.typical_latency += kNormGain * (usual - class_state.typical_latency);
+      machine_type.relative_latency +=
+          kMovingAverageGain * (sample - machine_type.relative_latency);
+      class_state.typical_latency += kMovingAverageGain * (usual - class_state.typical_latency);
       admission_.on_success(request);
       if (context_.now <= request.objective_deadline) {
         on_response_timeliness(host, false);
--- a/src/load_balancer/request_scheduler.cpp
+++ b/src/load_balancer/request_scheduler.cpp
@@ -25,9 +25,10 @@
   ClassState& class_state = context.classes[request.class_index];
   const double cost = to_seconds(arrival.cost);
   if (cost > 0) {
-    class_state.mean_cost = class_state.mean_cost > 0
-                                ? class_state.mean_cost + kNormGain * (cost - class_state.mean_cost)
-                                : cost;
+    class_state.mean_cost =
+        class_state.mean_cost > 0
+            ? class_state.mean_cost + kMovingAverageGain * (cost - class_state.mean_cost)
+            : cost;
   }
   request.cost = cost > 0 ? std::clamp(cost / class_state.mean_cost, 0.2, 5.0) : 1.0;
   request.key = arrival.key;
@@ -110,7 +111,7 @@
     return false;
   }
   const Time latest_start = selector_.latest_start(request);
-  Host& host = fleet.at(id);
+  Host& host = hosts.at(id);
   slow_start.on_sent(host);
   Attempt& attempt = request.attempts[request.attempt_count];
   attempt = {id, context.now, true, true};
@@ -136,20 +137,20 @@
   }
   ActiveRequest& request = *found;
   Attempt& attempt = request.attempts[result.attempt];
-  Host& host = fleet.at(attempt.host);
+  Host& host = hosts.at(attempt.host);
   attempt.in_flight = false;
   --request.attempts_in_flight;
   if (request.body_pending) {
     request.restart_clock(context.now);
   } else {
-    fleet.add_in_flight(host, -1);
+    hosts.add_in_flight(host, -1);
   }
   if (result.outcome == AttemptOutcome::rejected_by_host ||
       result.outcome == AttemptOutcome::connect_failed ||
       result.outcome == AttemptOutcome::not_sent) {
     attempt.may_have_run = false;
   }
-  health.on_attempt_result(host, request, result);
+  outlier_detector.on_attempt_result(host, request, result);
   if (result.outcome == AttemptOutcome::success) {
     slow_start.on_success(host);
   }
@@ -196,7 +197,7 @@
   for (std::uint32_t i = 0; i < request->attempt_count; ++i) {
     if (request->attempts[i].in_flight) {
       request->attempts[i].sent_at = context.now;
-      track_in_flight(*request, fleet.at(request->attempts[i].host));
+      track_in_flight(*request, hosts.at(request->attempts[i].host));
     }
   }
   if (!request->ended) {
@@ -268,8 +269,8 @@
   }
   requests_.remove(request);
   for (std::uint32_t i = 0; i < request.attempt_count; ++i) {
-    --fleet.at(request.attempts[i].host).references;
-    fleet.forget_gone(request.attempts[i].host);
+    --hosts.at(request.attempts[i].host).references;
+    hosts.forget_if_unused(request.attempts[i].host);
   }
 }
 
@@ -339,8 +340,8 @@
     } else if (timer.kind == TimerKind::response_deadline && !request->body_pending) {
       reject_or_fail(*request);
     } else if (timer.kind == TimerKind::latency_objective && request->attempts_in_flight > 0) {
-      health.on_response_timeliness(fleet.at(request->attempts[request->attempt_count - 1].host),
-                                    true);
+      outlier_detector.on_response_timeliness(
+          hosts.at(request->attempts[request->attempt_count - 1].host), true);
     } else if (timer.kind == TimerKind::hedge && request->attempts_in_flight == 1 &&
                admission.shedding_threshold() <= 1) {
       retry(*request);
--- a/src/load_balancer/request_scheduler.hpp
+++ b/src/load_balancer/request_scheduler.hpp
@@ -69,7 +69,7 @@
   // Counts an attempt as load of the host.
   void track_in_flight(const ActiveRequest& request, Host& host) {
     host.outstanding_attempts.push_back(requests_.reference(request));
-    fleet.add_in_flight(host, 1);
+    hosts.add_in_flight(host, 1);
   }
   void reject_or_fail(ActiveRequest& request);
   void send_rejection(const ActiveRequest& request);
--- a/src/load_balancer/slow_start.cpp
+++ b/src/load_balancer/slow_start.cpp
@@ -48,10 +48,10 @@
   const MachineType& machine_type = fleet_.machine_type_of(host);
   // What warm ones of its kind were seen to carry; else, when all are cold, what the reports teach.
   // These teach too little of hosts that are crowded, less is sent, and refusals go on.
-  const bool proven = machine_type.confirmed_rate > 0;
+  const bool proven = machine_type.peak_success_rate > 0;
   const double part = proven ? kConfirmedCapacityFraction * (2 + admission_.confidence()) / 3
                              : kReportedCapacityFraction;
-  const double borne = (proven ? machine_type.confirmed_rate : machine_type.capacity) *
+  const double borne = (proven ? machine_type.peak_success_rate : machine_type.capacity) *
                        fleet_.warmup_fraction(host) * context_.settings.collapse_load_factor;
   // Beside a limit of few requests a window, chance alone fells a host: sums scatter by the
   // root.
@@ -109,11 +109,11 @@
     if (machine_type.warm_hosts > 0) {
       machine_type.success_rate +=
           admission_.fast_gain() *
-          (machine_type.served / machine_type.warm_hosts / to_seconds(kSweep) -
+          (machine_type.served / machine_type.warm_hosts / to_seconds(kSweepInterval) -
            machine_type.success_rate);
     }
-    machine_type.confirmed_rate =
-        std::max(machine_type.success_rate, machine_type.confirmed_rate * kConfirmedRateDecay);
+    machine_type.peak_success_rate =
+        std::max(machine_type.success_rate, machine_type.peak_success_rate * kConfirmedRateDecay);
     const double faster = machine_type.service_time > 0
                               ? std::clamp(mean_service_time_ / machine_type.service_time, 0.3, 3.0)
                               : kMachineTypePriorFactor;
--- a/tests/load_balancer/decision_test.cpp
+++ b/tests/load_balancer/decision_test.cpp
@@ -92,11 +92,11 @@
   learn(p, {0.25, 0.25, 0.25, 0.25});
   const double before = p.capacity(0);
   for (int i = 0; i < 20; ++i) {
-    p.pass(kSweep), p.cold.sweep();
+    p.pass(kSweepInterval), p.cold.sweep();
   }
   EXPECT_NEAR(p.capacity(0), before, 0.1 * before);
   for (int i = 0; i < 3000; ++i) {
-    p.pass(kSweep), p.cold.sweep();
+    p.pass(kSweepInterval), p.cold.sweep();
   }
   // What is supposed of a host of which nothing is known: half of its even share of 80 requests a
   // second.
@@ -122,7 +122,7 @@
   int burst = 0;
   for (auto& p : bank) {
     for (int i = 0; i < 20; ++i) {
-      p->pass(kSweep), p->cold.try_admit(p->fleet.at(4));  // asked, but not used
+      p->pass(kSweepInterval), p->cold.try_admit(p->fleet.at(4));  // asked, but not used
     }
     burst += p->cold.try_admit(p->fleet.at(4));
   }
