--- a/src/discovery/discovery_call.cpp
+++ b/src/discovery/discovery_call.cpp
@@ -41,7 +41,7 @@
       clock_(clock),
       server_(std::move(server)),
       socket_(io),
-      timer_(clock.timer()) {}
+      timer_(clock.make_timer()) {}
 
 void DiscoveryCall::cancel() {
   observer_ = nullptr;
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -36,14 +36,14 @@
 
 }  // namespace
 
-Gateway::Gateway(asio::io_context& io, const config::Config& config, const Waits& waits,
+Gateway::Gateway(asio::io_context& io, const config::Config& config, const Overrides& overrides,
                  std::function<void(std::string)> log)
-    : clock_(waits.clock ? waits.clock : std::make_shared<runtime::SystemClock>(io)),
+    : clock_(overrides.clock ? overrides.clock : std::make_shared<runtime::SystemClock>(io)),
       start_(clock_->now()),
       unix_start_(std::chrono::system_clock::now()),
       settings_(config.module),
       config_(config),
-      waits_(waits),
+      overrides_(overrides),
       request_mapper_(config.module),
       log_(std::move(log)),
       balancer_(config.module, now()),
@@ -66,13 +66,13 @@
                       become_ready();
                     }
                   }},
-                 waits.discovery),
-      wakeup_timer_(clock_->timer()),
-      stop_timer_(clock_->timer()),
-      ready_timer_(clock_->timer()),
+                 overrides.discovery),
+      wakeup_timer_(clock_->make_timer()),
+      stop_timer_(clock_->make_timer()),
+      ready_timer_(clock_->make_timer()),
       socket_is_shared_(config.passed_socket.has_value()),
       clients_(io, {config.listen, config.passed_socket},
-               client_limits(config, waits.clients, ProcessRole::sole),
+               client_limits(config, overrides.clients, ProcessRole::sole),
                {[this](http::ClientRequest request) { on_request(std::move(request)); },
                 [this](http::ExchangeId exchange) { on_body_complete(exchange); },
                 [this](http::ExchangeId exchange) {
@@ -192,7 +192,7 @@
   if (message.target() == "/up" && is_read) {
     return clients_.respond(
         request.exchange,
-        plain(takes_clients() ? beast_http::status::ok : beast_http::status::service_unavailable));
+        plain(is_available() ? beast_http::status::ok : beast_http::status::service_unavailable));
   }
   RequestMapper::Result mapped = request_mapper_.map(message);
   if (const auto* const error = std::get_if<beast_http::status>(&mapped)) {
@@ -482,7 +482,7 @@
 void Gateway::apply_limits() {
   buffers_->limit_bytes = body_memory(config_, role_);
   hosts_.set_limits(upstream_limits(config_, role_));
-  clients_.set_limits(client_limits(config_, waits_.clients, role_));
+  clients_.set_limits(client_limits(config_, overrides_.clients, role_));
 }
 
 void Gateway::join_fleet(FleetHooks hooks) {
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -39,7 +39,7 @@
 class Gateway {
  public:
   // Limits and time limits that only tests change.
-  struct Waits {
+  struct Overrides {
     http::ClientListener::Limits clients;
     discovery::DiscoveryClient::Waits discovery;
     // Of the balancer, of discovery and of stop(); null: the system's.
@@ -48,14 +48,14 @@
 
   // Listens and polls discovery at once. Throws boost::system::system_error if it can't listen, or
   // std::invalid_argument if the passed descriptor is no listening socket.
-  Gateway(boost::asio::io_context& io, const config::Config& config, const Waits& waits,
+  Gateway(boost::asio::io_context& io, const config::Config& config, const Overrides& overrides,
           std::function<void(std::string)> log);
   ~Gateway();
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  boost::asio::ip::tcp::endpoint listening() const { return clients_.listening(); }
-  bool takes_clients() const { return ready_ && !stopping_ && !drained_ && clients_.accepting(); }
+  boost::asio::ip::tcp::endpoint local_endpoint() const { return clients_.local_endpoint(); }
+  bool is_available() const { return ready_ && !stopping_ && !drained_ && clients_.accepting(); }
   // Another process of the same gateway runs: the two share the limits of one.
   void set_has_sibling(bool has_sibling);
   // An operator begins or ends the maintenance of a host. `uid` is its id in discovery.
@@ -120,7 +120,7 @@
   std::chrono::system_clock::time_point unix_start_;
   load_balancer::Settings settings_;
   config::Config config_;  // the latest, for the limits
-  Waits waits_;
+  Overrides overrides_;
   RequestMapper request_mapper_;
   std::function<void(std::string)> log_;
   load_balancer::Balancer balancer_;
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -92,7 +92,7 @@
   gateway::admin::AdminService console(
       state_directory(config),
       std::chrono::ceil<std::chrono::seconds>(config.module.warmup_duration),
-      {[&] { return gateway.takes_clients(); }, [&](bool drained) { gateway.set_drained(drained); },
+      {[&] { return gateway.is_available(); }, [&](bool drained) { gateway.set_drained(drained); },
        [&](const std::string& uid, bool out) { gateway.set_maintenance(uid, out); },
        [&](bool paired) { gateway.set_has_sibling(paired); }, log});
   gateway.on_endpoint_listed([&](const std::string& uid) { console.on_endpoint_listed(uid); });
--- a/src/http/client_listener.hpp
+++ b/src/http/client_listener.hpp
@@ -37,7 +37,7 @@
   ClientListener(const ClientListener&) = delete;
   ClientListener& operator=(const ClientListener&) = delete;
 
-  boost::asio::ip::tcp::endpoint listening() const { return acceptor_.local_endpoint(); }
+  boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
   void set_limits(const Limits& limits) { sessions_.limits = limits; }
   // With a `stream` the body comes from there, and the response has none. Without effect if the
   // client has disconnected.
--- a/src/runtime/clock.hpp
+++ b/src/runtime/clock.hpp
@@ -33,7 +33,7 @@
  public:
   virtual ~Clock() = default;
   virtual std::chrono::steady_clock::time_point now() const = 0;
-  virtual std::unique_ptr<Timer> timer() = 0;
+  virtual std::unique_ptr<Timer> make_timer() = 0;
 };
 
 /// The system's steady clock; the io_context must outlive it.
@@ -43,7 +43,7 @@
   std::chrono::steady_clock::time_point now() const override {
     return std::chrono::steady_clock::now();
   }
-  std::unique_ptr<Timer> timer() override { return std::make_unique<SystemTimer>(io_); }
+  std::unique_ptr<Timer> make_timer() override { return std::make_unique<SystemTimer>(io_); }
 
  private:
   class SystemTimer final : public Timer {
--- a/tests/discovery/discovery_paths_test.cpp
+++ b/tests/discovery/discovery_paths_test.cpp
@@ -51,7 +51,7 @@
             if (watch && reaction == Reaction::answers && !changed) {
               return;
             }
-            timers.push_back(test.clock->timer());
+            timers.push_back(test.clock->make_timer());
             const bool full = path.find("since=") == std::string::npos;
             timers.back()->wait_until(test.clock->now() + (watch ? 0ms : kResponseDelay),
                                       [this, &test, reaction, full, c = c.shared_from_this()] {
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -877,10 +877,10 @@
   idle->send(text("read"));
   ASSERT_TRUE(until([&] { return !idle->answers.empty(); }));
   EXPECT_TRUE(idle->answers[0].keep_alive());
-  EXPECT_TRUE(gateway->takes_clients());
+  EXPECT_TRUE(gateway->is_available());
   gateway->set_drained(true);
   gateway->set_drained(true);
-  EXPECT_FALSE(gateway->takes_clients());
+  EXPECT_FALSE(gateway->is_available());
   EXPECT_EQ(ask("GET /up HTTP/1.1\r\n\r\n").result_int(), 503u);
   const Response late = ask(text("read"));
   EXPECT_EQ(late.result_int(), 200u);
@@ -891,7 +891,7 @@
   ASSERT_TRUE(until([&] { return waiting->closed_by_peer; }));
   EXPECT_EQ(waiting->answers.at(0).body(), "kept");
   gateway->set_drained(false);
-  EXPECT_TRUE(gateway->takes_clients());
+  EXPECT_TRUE(gateway->is_available());
   EXPECT_EQ(ask("GET /up HTTP/1.1\r\n\r\n").result_int(), 200u);
   EXPECT_TRUE(ask(text("read")).keep_alive());
 }
@@ -903,7 +903,7 @@
   gateway->set_drained(true);
   gateway->stop([&] { done = true; });
   gateway->set_drained(false);
-  EXPECT_FALSE(gateway->takes_clients());
+  EXPECT_FALSE(gateway->is_available());
   EXPECT_FALSE(ask(text("read")).keep_alive());
   EXPECT_TRUE(until([&] { return done; }));
 }
@@ -927,11 +927,11 @@
     return std::make_unique<Gateway>(io, c, waits, [](const std::string&) {});
   };
   gateway = make();
-  EXPECT_FALSE(gateway->takes_clients()) << "not before discovery has answered";
-  ASSERT_TRUE(until([&] { return gateway->takes_clients(); }));
+  EXPECT_FALSE(gateway->is_available()) << "not before discovery has answered";
+  ASSERT_TRUE(until([&] { return gateway->is_available(); }));
   EXPECT_EQ(ask(text("read")).result_int(), 200u);
   auto next = make();
-  ASSERT_TRUE(until([&] { return next->takes_clients(); }));
+  ASSERT_TRUE(until([&] { return next->is_available(); }));
   bool done = false;
   gateway->stop([&] { done = true; });
   ASSERT_TRUE(until([&] { return done; }));
@@ -952,7 +952,7 @@
     return name == std::string("GW_PASSED_SOCKET") ? socket.c_str() : nullptr;
   });
   gateway = std::make_unique<Gateway>(io, c, waits, [](const std::string&) {});
-  ASSERT_TRUE(until([&] { return gateway->takes_clients(); }));
+  ASSERT_TRUE(until([&] { return gateway->is_available(); }));
   bool done = false;
   gateway->stop([&] { done = true; });
   ASSERT_TRUE(until([&] { return done; }));
--- a/tests/gateway/races_test.cpp
+++ b/tests/gateway/races_test.cpp
@@ -296,7 +296,7 @@
   ASSERT_TRUE(until([&] { return discovery.held.size() == 1; }));
   {
     tcp::socket socket(io);
-    socket.connect(gateway->listening());
+    socket.connect(gateway->local_endpoint());
     asio::write(socket, asio::buffer(text("write") + text("read")));
   }  // closed before the loop runs
   ASSERT_TRUE(until([&] { return gateway->connections() == 1; })) << "taken";
@@ -394,7 +394,7 @@
 // passed on.
 TEST_F(RaceTest, NeitherResetsNorForwardsRequestCrossingIdleClose) {
   two_hosts(always(answer_text(200, "", "x")));
-  RawClient c(io, gateway->listening());
+  RawClient c(io, gateway->local_endpoint());
   c.read();
   c.send(text("read"));
   ASSERT_TRUE(until([&] { return c.got.find("\r\n\r\nx") != std::string::npos; }));
@@ -433,7 +433,7 @@
     }
   });
   start();
-  RawClient c(io, gateway->listening());
+  RawClient c(io, gateway->local_endpoint());
   c.read();
   c.send(text("write") + text("read") + text("write"));
   ASSERT_TRUE(until([&] { return pending != nullptr; }));
@@ -457,7 +457,7 @@
 TEST_F(RaceTest, ServesPartialRequestAtStopAndDiscardsFollowingInput) {
   add_host("a", always(answer_text(200, "", "whole")));
   start();
-  RawClient c(io, gateway->listening());
+  RawClient c(io, gateway->local_endpoint());
   c.read();
   const std::string request = text("write", "", "0123456789");
   c.send(request.substr(0, request.size() - 5));
@@ -485,7 +485,7 @@
   start();
   std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 8; ++i) {
-    clients.push_back(std::make_unique<RawClient>(io, gateway->listening()));
+    clients.push_back(std::make_unique<RawClient>(io, gateway->local_endpoint()));
     clients.back()->read();
     clients.back()->send(text("write"));
   }
@@ -533,7 +533,7 @@
   };
   std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 3; ++i) {
-    clients.push_back(std::make_unique<RawClient>(io, server.listening()));
+    clients.push_back(std::make_unique<RawClient>(io, server.local_endpoint()));
     clients.back()->read();
     clients.back()->send(text("write"));
     clients.back()->on_end = [&socket = clients.back()->socket] {
--- a/tests/gateway/stream_test.cpp
+++ b/tests/gateway/stream_test.cpp
@@ -110,7 +110,7 @@
     discovery.list.push_back(target("s-raw", host->endpoint));
     start();
   }
-  std::shared_ptr<Raw> raw() { return Raw::connect(io, gateway->listening()); }
+  std::shared_ptr<Raw> raw() { return Raw::connect(io, gateway->local_endpoint()); }
   std::string head_of(const std::string& kind, const std::string& headers) {
     return "POST /" + kind + " HTTP/1.1\r\nX-Request-Id: q" + std::to_string(++serial) + "\r\n" +
            headers + "\r\n";
--- a/tests/support/gateway_fixture.hpp
+++ b/tests/support/gateway_fixture.hpp
@@ -19,7 +19,7 @@
   FakeDiscovery discovery{io};
   std::vector<std::unique_ptr<Peer>> hosts;
   json config = config_json();
-  Gateway::Waits waits;
+  Gateway::Overrides waits;
   std::unique_ptr<Gateway> gateway;
   int serial = 0;
   std::vector<std::string> reached;  // uid of the host of each attempt, in order
@@ -50,7 +50,7 @@
   ::testing::AssertionResult until(Predicate predicate) {
     return run_until(io, predicate);
   }
-  std::shared_ptr<Client> client() { return Client::connect(io, gateway->listening()); }
+  std::shared_ptr<Client> client() { return Client::connect(io, gateway->local_endpoint()); }
   std::string text(const std::string& kind, const std::string& headers = "",
                    const std::string& body = "") {
     const std::string id = "X-Request-Id: r" + std::to_string(++serial) + "\r\n";
--- a/tests/support/manual_clock.hpp
+++ b/tests/support/manual_clock.hpp
@@ -18,7 +18,7 @@
   using TimePoint = std::chrono::steady_clock::time_point;
 
   TimePoint now() const override { return now_; }
-  std::unique_ptr<runtime::Timer> timer() override {
+  std::unique_ptr<runtime::Timer> make_timer() override {
     return std::make_unique<ManualTimer>(pending_);
   }
   bool has_pending_timers() const { return !pending_->empty(); }
