--- a/tests/gateway/races_test.cpp
+++ b/tests/gateway/races_test.cpp
@@ -296,7 +296,7 @@
   ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   {
     tcp::socket socket(io);
-    socket.connect(gateway->listening());
+    socket.connect(gateway->local_endpoint());
     asio::write(socket, asio::buffer(request_text("write") + request_text("read")));
   }  // closed before the loop runs
   ASSERT_TRUE(until([&] { return gateway->connections() == 1; })) << "taken";
@@ -396,7 +396,7 @@
 // passed on.
 TEST_F(RaceTest, NeitherResetsNorForwardsRequestCrossingIdleClose) {
   start_with_two_hosts(always_reply(response_text(200, "", "x")));
-  RawClient c(io, gateway->listening());
+  RawClient c(io, gateway->local_endpoint());
   c.read();
   c.send(request_text("read"));
   ASSERT_TRUE(until([&] { return c.got.find("\r\n\r\nx") != std::string::npos; }));
@@ -435,7 +435,7 @@
     }
   });
   start();
-  RawClient c(io, gateway->listening());
+  RawClient c(io, gateway->local_endpoint());
   c.read();
   c.send(request_text("write") + request_text("read") + request_text("write"));
   ASSERT_TRUE(until([&] { return pending != nullptr; }));
@@ -459,7 +459,7 @@
 TEST_F(RaceTest, ServesPartialRequestAtStopAndDiscardsFollowingInput) {
   add_host("a", always_reply(response_text(200, "", "whole")));
   start();
-  RawClient c(io, gateway->listening());
+  RawClient c(io, gateway->local_endpoint());
   c.read();
   const std::string request = request_text("write", "", "0123456789");
   c.send(request.substr(0, request.size() - 5));
@@ -487,7 +487,7 @@
   start();
   std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 8; ++i) {
-    clients.push_back(std::make_unique<RawClient>(io, gateway->listening()));
+    clients.push_back(std::make_unique<RawClient>(io, gateway->local_endpoint()));
     clients.back()->read();
     clients.back()->send(request_text("write"));
   }
@@ -535,7 +535,7 @@
   };
   std::vector<std::unique_ptr<RawClient>> clients;
   for (int i = 0; i < 3; ++i) {
-    clients.push_back(std::make_unique<RawClient>(io, server.listening()));
+    clients.push_back(std::make_unique<RawClient>(io, server.local_endpoint()));
     clients.back()->read();
     clients.back()->send(request_text("write"));
     clients.back()->on_end = [&socket = clients.back()->socket] {
--- a/tests/support/gateway_fixture.hpp
+++ b/tests/support/gateway_fixture.hpp
@@ -19,7 +19,7 @@
   FakeDiscovery discovery{io};
   std::vector<std::unique_ptr<Peer>> hosts;
   json config = config_json();
-  Gateway::Waits waits;
+  Gateway::Overrides waits;
   std::unique_ptr<Gateway> gateway;
   int serial = 0;
   std::vector<std::string> attempted_hosts;  // uid of the host of each attempt, in order
@@ -52,7 +52,7 @@
   ::testing::AssertionResult until(Predicate predicate) {
     return run_until(io, predicate);
   }
-  std::shared_ptr<Client> client() { return Client::connect(io, gateway->listening()); }
+  std::shared_ptr<Client> client() { return Client::connect(io, gateway->local_endpoint()); }
   // A request of a class ("read", "write" or "put") with an id of its own.
   std::string request_text(const std::string& class_name, const std::string& headers = "",
                            const std::string& body = "") {
