--- a/tests/load_balancer/failures_test.cpp
+++ b/tests/load_balancer/failures_test.cpp
@@ -762,8 +762,8 @@
       d.report_result(sent, fails ? AttemptOutcome::server_error : AttemptOutcome::success, !fails);
     }
   }
-  EXPECT_LT(sent_to_failing[1], 10u);  // of 150; an even share would be 25
-  EXPECT_GT(sent_to_failing[0], 40u);  // of 450; an even share would be 75
+  EXPECT_LT(sent_to_failing[1], 10u);  // of 150; an even distribution gives 25
+  EXPECT_GT(sent_to_failing[0], 40u);  // of 450; an even distribution gives 75
 }
 
 // A host that rejects one class and serves the others would keep attracting that class.
@@ -788,8 +788,8 @@
                       !rejects);
     }
   }
-  EXPECT_LT(sent_to_rejecting[1], 10u);  // of 150; an even share would be 25
-  EXPECT_GT(sent_to_rejecting[0], 40u);  // of 450; an even share would be 75
+  EXPECT_LT(sent_to_rejecting[1], 10u);  // of 150; an even distribution gives 25
+  EXPECT_GT(sent_to_rejecting[0], 40u);  // of 450; an even distribution gives 75
 }
 
 // A request with less time left for its latency objective than responses take would be sent in vain
