--- a/src/load_balancer/components.hpp
+++ b/src/load_balancer/components.hpp
@@ -1,8 +1,4 @@
-// The components of a Balancer. Interface (types, events, actions):
-// include/load_balancer/load_balancer.hpp.
-//
-// A request gets a priority score, is shed below the threshold and otherwise sent to a random idle
-// host, or to the less loaded of two random ones. Each component knows only those before it.
+// The components of a Balancer, whose interface is include/load_balancer/load_balancer.hpp.
 #pragma once
 
 #include "load_balancer/discovery_poller.hpp"
@@ -10,6 +6,9 @@
 
 namespace load_balancer {
 
+// A request gets a priority score. If the score is below the shedding threshold, the request is
+// shed, otherwise it is sent to a random idle host or, without one, to the less loaded of two
+// random hosts. Components are listed in order of dependency: each refers only to those before it.
 struct BalancerComponents {
   Context context;
   ActiveRequests requests;
@@ -25,9 +24,10 @@
   RequestScheduler scheduler{selection_context, requests, selector};
   Time next_sweep;
 
-  BalancerComponents(Settings s, Time t)
-      : context(std::move(s), t), next_sweep(t + kSweepInterval) {}
+  BalancerComponents(Settings settings, Time start)
+      : context(std::move(settings), start), next_sweep(start + kSweepInterval) {}
 
+  // Handles the timers that are due and, every kSweepInterval, updates the statistics.
   void on_wake() {
     scheduler.on_wakeup();
     if (context.now < next_sweep) {
@@ -37,7 +37,7 @@
     connections.sweep();
     outlier_detector.sweep();
     hosts.sweep();
-    hosts.resize_subset(admission.confirmed_rate());
+    hosts.resize_subset(admission.damped_arrival_rate());
     slow_start.sweep();
     scheduler.sweep();
     admission.sweep();
--- a/src/load_balancer/priority_ranks.cpp
+++ b/src/load_balancer/priority_ranks.cpp
@@ -24,15 +24,15 @@
     levels_.insert(levels_.begin() + static_cast<std::ptrdiff_t>(index), PriorityLevel{weight, 0});
   }
   levels_[index].request_count += 1;
-  double below = 0;
-  double all = 0;
+  double count_below = 0;
+  double total = 0;
   for (std::size_t i = 0; i < levels_.size(); ++i) {
-    all += levels_[i].request_count;
+    total += levels_[i].request_count;
     if (i < index) {
-      below += levels_[i].request_count;
+      count_below += levels_[i].request_count;
     }
   }
-  return {below / all, levels_[index].request_count / all};
+  return {count_below / total, levels_[index].request_count / total};
 }
 
 void PriorityRanks::decay(double fraction) {
--- a/src/load_balancer/tenant_quotas.hpp
+++ b/src/load_balancer/tenant_quotas.hpp
@@ -1,4 +1,4 @@
-// Token buckets with this gateway's part of each tenant's quota.
+// Token buckets for the quotas of tenants.
 #pragma once
 
 #include <cstddef>
@@ -8,18 +8,19 @@
 
 namespace load_balancer {
 
+// Counts a token per request. The quota of a tenant is divided evenly among the gateways.
 class TenantQuotas {
  public:
   TenantQuotas() = default;
   TenantQuotas(const Settings& settings, Time now);
 
-  // Takes a token for one request; false if the quota is used up. A tenant that is unknown or has
-  // no quota always succeeds.
+  // Takes a token for one request; returns false if the quota is used up. Always succeeds for a
+  // tenant that is unknown or has no quota.
   bool try_consume(std::size_t tenant, Time now);
 
  private:
-  std::vector<double> per_second_;  // by tenant; 0 = no quota
-  std::vector<double> tokens_;      // a second's worth at most
+  std::vector<double> per_second_;  // requests, by tenant; 0 = no quota
+  std::vector<double> tokens_;      // by tenant; at most the quota of one second
   Time refilled_at_{};
 };
 
