--- a/src/load_balancer/host.hpp
+++ b/src/load_balancer/host.hpp
@@ -1,4 +1,4 @@
-// What this gateway knows of one upstream host.
+// State that this gateway keeps for an upstream host.
 #pragma once
 
 #include <cstddef>
@@ -11,7 +11,8 @@
 
 namespace load_balancer {
 
-// `probation`: after an ejection, one request at a time decides about the return.
+// `probation`: after an ejection the host gets one request at a time; the next success
+// or failure makes it healthy or ejects it again.
 enum class HealthState { healthy, ejected, probation };
 
 struct Host {
@@ -23,9 +24,9 @@
   bool counted_in_flight = false;  // its in_flight is part of HostSet::in_flight
   int in_flight = 0;               // attempts
   int references = 0;              // attempts of active requests, completed ones included
-  // (slot, generation) of the requests with an attempt here, in order of sending.
+  // (slot, generation) of the requests with an attempt at this host, in order of sending.
   std::deque<std::pair<std::uint32_t, std::uint32_t>> outstanding_attempts;
-  std::uint64_t last_selection = 0;  // number of the last selection that considered it
+  std::uint64_t last_selection = 0;  // number of the last selection that examined it
 
   // Placement.
   std::size_t machine_type = 0;          // index into HostSet::machine_types
@@ -33,7 +34,7 @@
 
   // Performance.
   double relative_latency = 1;  // response time divided by the class's typical latency
-  double served = 0;            // successes since the last sweep
+  double served = 0;            // successful attempts since the last sweep
   Time last_response_at{};
   Time last_used_at{};
 
@@ -47,7 +48,7 @@
   int ejection_count = 0;
   bool unresponsive = false;       // no response for far longer than its usual latency
   int consecutive_rejections = 0;  // rejected_by_host outcomes in a row
-  Time backoff_until{};            // nothing is sent before
+  Time backoff_until{};            // no request is sent before
 
   // Connections.
   int desired_connections = 0;           // connections that should be open
@@ -64,12 +65,12 @@
   double warmup_tokens = 0;  // requests that may be sent while it warms up
   Time warmup_tokens_at{};
 
-  // Load reports, which cover all gateways.
+  // Load reports, which cover the requests of all gateways.
   double utilization = -1;  // 0 to 1; -1: not reported
   Time reported_at{};       // latest report, or when this process of the host was first listed
 };
 
-// True if outlier detection advises against new requests.
+// True if outlier detection finds the host ejected, on probation or unresponsive.
 inline bool is_unhealthy(const Host& host) {
   return host.health != HealthState::healthy || host.unresponsive;
 }
--- a/src/load_balancer/host_selector.cpp
+++ b/src/load_balancer/host_selector.cpp
@@ -3,33 +3,41 @@
 namespace load_balancer {
 namespace {
 
-// With more requests than hosts each holds several, a limit of one counts none as idle, and
-// two blind draws decide: some hosts queue while cores of others stand free. So few is what lies
-// under the mean. It could do harm where a host holds little because it fails at once; trust and
-// ejection keep that one out.
+// A host is idle below this fraction of the mean in-flight count per host, or below 1 if that is
+// more. With a fixed limit of 1, no host would be idle once there are more requests than hosts, and
+// the choice between two random hosts would let requests queue at some hosts while others have free
+// cores. A host with few requests because it fails at once would look idle; the class success
+// factor and ejection keep requests away from it.
 constexpr double kIdleFractionOfMean = 0.75;
-constexpr double kLocalZonePreference =
-    2;  // own zone in the draw: yields to a host 1.4 times as fast
-constexpr double kLargeFleetZonePreference =
-    20;  // and of a trickle, where busyness weighs against it
-// of a trickle, so much more for an open connection: it saves a handshake
+
+// Factors on the selection weight.
+// Hosts of the gateway's own zone. A host elsewhere has the same weight if it is 1.4 times as fast.
+constexpr double kLocalZonePreference = 2;
+// The same with many gateways, where the utilization of the host counts against it.
+constexpr double kLargeFleetZonePreference = 20;
+// Added to 1 for a host with an open connection, which saves a handshake, times the uncertainty of
+// the own traffic: it counts only with few requests.
 constexpr double kOpenConnectionPreference = 2;
-constexpr std::size_t kAffinityHosts = 3;  // that share the warmth of one key
-// With many gateways the hosts of a few popular keys are crowded while others stand idle. A
-// key has so many hosts at least, and a popular one so many that it is one of eight parts of what
-// each of them gets.
+
+// Hosts that serve a key, so that few hosts need its cached data.
+constexpr std::size_t kAffinityHosts = 3;
+// With many gateways the hosts of a few popular keys would be overloaded while others are idle. So
+// a key has at least kMinKeyHosts, and a popular key so many that it makes up one part in
+// kKeyHostFactor of the mean traffic of each.
 constexpr std::size_t kMinKeyHosts = 8;
 constexpr double kKeyHostFactor = 8;
 
-// On a large fleet the idle search is sampled: so many of its own hosts are looked at, more while
-// none is idle, all only if none may be used.
-constexpr std::size_t kMaxFullScan = 32, kSamplesWhenIdleFound = 10, kMaxSamples = 48,
-                      kWarmingSamples = 4;
+// In a large subset the hosts are sampled. All are examined only if no sampled host may be used.
+constexpr std::size_t kMaxFullScan = 32;           // hosts of a subset that is not sampled
+constexpr std::size_t kSamplesWhenIdleFound = 10;  // samples if one of them is idle
+constexpr std::size_t kMaxSamples = 48;            // samples if none is idle
+constexpr std::size_t kWarmingSamples = 4;         // samples of the hosts that are warming up
 
 }  // namespace
 
-bool HostSelector::is_allowed(const ActiveRequest& request,
-                              const Host& host) const {  // the rules on placement and repeats
+// Checks the placement rules of the class and, after an attempt that may have run, whether the
+// class allows another one at this host and at this time.
+bool HostSelector::is_allowed(const ActiveRequest& request, const Host& host) const {
   const ClassSettings& class_settings = context.classes[request.class_index].settings;
   if (!host.placeable_by_class[request.class_index]) {
     return false;
@@ -42,13 +50,13 @@
     if (class_settings.idempotency == Idempotency::non_idempotent) {
       return false;
     }
-    const Endpoint& first = hosts.at(request.attempts[i].host).endpoint;
+    const Endpoint& attempted = hosts.at(request.attempts[i].host).endpoint;
     if (class_settings.deduplication_scope != DeduplicationScope::global &&
-        first.zone != host.endpoint.zone) {
+        attempted.zone != host.endpoint.zone) {
       return false;
     }
     if (class_settings.deduplication_scope == DeduplicationScope::cell &&
-        first.cell != host.endpoint.cell) {
+        attempted.cell != host.endpoint.cell) {
       return false;
     }
   }
@@ -67,7 +75,7 @@
   return Time::max();
 }
 
-void HostSelector::try_candidate(const ActiveRequest& request, HostId id, bool relaxed) {
+void HostSelector::add_if_eligible(const ActiveRequest& request, HostId id, bool relaxed) {
   Host& host = hosts.at(id);
   if (host.last_selection == selection_number_) {
     return;
@@ -88,125 +96,132 @@
   if (!is_allowed(request, host) || !slow_start.try_admit(host)) {
     return;
   }
-  ready_.push_back(id);
-  found_idle_ |= idle(host);
+  candidates_.push_back(id);
+  found_idle_ |= is_idle(host);
 }
 
-std::size_t HostSelector::key_host_count(
-    const ActiveRequest& request) {  // so many places of its key are looked at; 0: it has none
+std::size_t HostSelector::key_host_count(const ActiveRequest& request) {
   if (!context.settings.key_affinity || !request.has_key) {
     return 0;
   }
   if (!hosts.is_large_fleet()) {
     return kAffinityHosts;
   }
-  const double part = key_frequency_.record(request.key) * kKeyHostFactor *
-                      static_cast<double>(hosts.subset_size());
-  return std::max(kMinKeyHosts, static_cast<std::size_t>(part));
+  const double host_count = key_frequency_.record(request.key) * kKeyHostFactor *
+                            static_cast<double>(hosts.subset_size());
+  return std::max(kMinKeyHosts, static_cast<std::size_t>(host_count));
 }
 
 void HostSelector::collect_candidates(const ActiveRequest& request, bool relaxed) {
-  const std::size_t width = hosts.subset_size();
-  ++selection_number_, ready_.clear(), found_idle_ = false;
-  if (const std::size_t most = relaxed || width == 0 ? 0 : key_host_count(request); most > 0) {
+  const std::size_t subset_size = hosts.subset_size();
+  ++selection_number_, candidates_.clear(), found_idle_ = false;
+  if (const std::size_t key_hosts = relaxed || subset_size == 0 ? 0 : key_host_count(request);
+      key_hosts > 0) {
     for (std::size_t i = 0;
-         i < kMaxSamples && ready_.size() < std::min(most, kSamplesWhenIdleFound); ++i) {
-      try_candidate(request,
-                    hosts.host_for_key(mix_bits(
-                        request.key +
-                        mix_bits(most <= kSamplesWhenIdleFound ? i : context.draw_below(most)))),
-                    false);
+         i < kMaxSamples && candidates_.size() < std::min(key_hosts, kSamplesWhenIdleFound); ++i) {
+      add_if_eligible(
+          request,
+          hosts.host_for_key(mix_bits(request.key + mix_bits(key_hosts <= kSamplesWhenIdleFound
+                                                                 ? i
+                                                                 : context.draw_below(key_hosts)))),
+          false);
     }
   }
-  if (!found_idle_ && width > kMaxFullScan && !relaxed) {
-    const std::vector<HostId>& cold_hosts = hosts.own_warming_hosts();
-    for (std::size_t i = 0; i < std::min(cold_hosts.size(), kWarmingSamples); ++i) {
-      try_candidate(request, cold_hosts[context.draw_below(cold_hosts.size())], false);
+  if (!found_idle_ && subset_size > kMaxFullScan && !relaxed) {
+    const std::vector<HostId>& warming_hosts = hosts.warming_subset_hosts();
+    for (std::size_t i = 0; i < std::min(warming_hosts.size(), kWarmingSamples); ++i) {
+      add_if_eligible(request, warming_hosts[context.draw_below(warming_hosts.size())], false);
     }
     for (std::size_t i = 0; i < (found_idle_ ? kSamplesWhenIdleFound : kMaxSamples); ++i) {
-      try_candidate(request, hosts.subset_order()[context.draw_below(width)], false);
+      add_if_eligible(request, hosts.subset_order()[context.draw_below(subset_size)], false);
     }
   }
-  if (!ready_.empty()) {
+  if (!candidates_.empty()) {
     return;
   }
   ++selection_number_;
   for (HostId id : hosts.subset_order()) {
-    if (found_idle_ && ready_.size() >= width) {
+    if (found_idle_ && candidates_.size() >= subset_size) {
       break;
     }
-    try_candidate(request, id, relaxed);
+    add_if_eligible(request, id, relaxed);
   }
 }
 
 double HostSelector::weight(const Host& host, const ActiveRequest& request) const {
-  const double busy = host.utilization < 0
-                          ? admission.utilization()
-                          : host.utilization;  // one not heard of is like the others
-  const double thin = admission.uncertainty();
-  const double free = std::clamp(1.05 - busy, 0.05, 1.0);
-  const double kept = host.selection_weight * hosts.machine_type_of(host).selection_weight *
-                      outlier_detector.late_response_penalty(host) *
-                      outlier_detector.class_success_factor(host, request.class_index);
-  const double zone = !host.local              ? 1
-                      : hosts.is_large_fleet() ? kLargeFleetZonePreference
-                                               : kLocalZonePreference;
+  // A host without load reports counts as average.
+  const double utilization = host.utilization < 0 ? admission.utilization() : host.utilization;
+  const double uncertainty = admission.uncertainty();
+  const double free_fraction = std::clamp(1.05 - utilization, 0.05, 1.0);
+  const double host_factor = host.selection_weight * hosts.machine_type_of(host).selection_weight *
+                             outlier_detector.late_response_penalty(host) *
+                             outlier_detector.class_success_factor(host, request.class_index);
+  const double zone_preference = !host.local              ? 1
+                                 : hosts.is_large_fleet() ? kLargeFleetZonePreference
+                                                          : kLocalZonePreference;
   const double preference =
-      zone * (connections.has_open_connection(host) ? 1 + kOpenConnectionPreference * thin : 1);
-  return preference * kept / std::max(host.relative_latency * host.relative_latency, 0.01) *
-         (1 - thin + thin * free * free * free);
+      zone_preference *
+      (connections.has_open_connection(host) ? 1 + kOpenConnectionPreference * uncertainty : 1);
+  return preference * host_factor / std::max(host.relative_latency * host.relative_latency, 0.01) *
+         (1 - uncertainty + uncertainty * free_fraction * free_fraction * free_fraction);
 }
 
+// The first attempt of a request prefers an idle host that is warming up, the more often the less
+// traffic the gateway has. Among a hundred hosts a gateway with few requests would otherwise draw
+// the warming host that its budget allows only once in half a minute, and the host would not warm
+// up. Such budgets are small, so they are used first.
+//
+// With many gateways every host looks idle to each of them. So the random choice among idle hosts
+// is weighted towards hosts that respond fast and report free cores, and towards the own zone while
+// it has free cores.
 HostId HostSelector::select(const ActiveRequest& request) {
   idle_threshold_ = std::max(kIdleFractionOfMean * hosts.per_listed(hosts.in_flight()), 1.0);
   collect_candidates(request, false);
-  if (ready_.empty()) {
-    collect_candidates(request, true);  // no healthy host: any that the rules allow beats none
+  if (candidates_.empty()) {
+    collect_candidates(request, true);  // no healthy host: use any that the rules allow
   }
-  if (ready_.empty()) {
+  if (candidates_.empty()) {
     return kNone;
   }
-  // Among a hundred hosts a thin gateway draws the cold one it could send to once in half a
-  // minute; it would stay slow_start. Its budget is small and is spent first.
-  for (HostId id : ready_) {
+  for (HostId id : candidates_) {
     if (const Host& host = hosts.at(id); request.attempt_count == 0 && hosts.is_warming_up(host) &&
-                                         idle(host) &&
+                                         is_idle(host) &&
                                          context.draw_unit() > admission.confidence()) {
       return id;
     }
   }
   if (context.settings.key_affinity && request.has_key && !hosts.is_large_fleet()) {
-    for (HostId id : ready_) {
-      if (idle(hosts.at(id)) && context.draw_unit() < hosts.at(id).selection_weight) {
+    for (HostId id : candidates_) {
+      if (is_idle(hosts.at(id)) && context.draw_unit() < hosts.at(id).selection_weight) {
         return id;
       }
     }
   }
-  // Beside many gateways every host looks idle. So the draw leans towards hosts that answer
-  // fast and say they have cores free, and to the own zone while that has.
-  double sum = 0;
+  double weight_sum = 0;
   HostId chosen = kNone;
-  for (HostId id : ready_) {
-    if (!idle(hosts.at(id))) {
+  for (HostId id : candidates_) {
+    if (!is_idle(hosts.at(id))) {
       continue;
     }
-    const double part = weight(hosts.at(id), request);
-    sum += part;
-    if (context.draw_unit() * sum < part) {
+    const double host_weight = weight(hosts.at(id), request);
+    weight_sum += host_weight;
+    if (context.draw_unit() * weight_sum < host_weight) {
       chosen = id;
     }
   }
   if (chosen != kNone) {
     return chosen;
   }
-  const HostId a = ready_[context.draw_below(ready_.size())];
-  const HostId b = ready_[context.draw_below(ready_.size())];
-  const Host& first = hosts.at(a);
-  const Host& second = hosts.at(b);
-  return load(first) * outlier_detector.class_success_factor(second, request.class_index) <=
-                 load(second) * outlier_detector.class_success_factor(first, request.class_index)
-             ? a
-             : b;
+  const HostId first_id = candidates_[context.draw_below(candidates_.size())];
+  const HostId second_id = candidates_[context.draw_below(candidates_.size())];
+  const Host& first = hosts.at(first_id);
+  const Host& second = hosts.at(second_id);
+  return relative_load(first) *
+                     outlier_detector.class_success_factor(second, request.class_index) <=
+                 relative_load(second) *
+                     outlier_detector.class_success_factor(first, request.class_index)
+             ? first_id
+             : second_id;
 }
 
 }  // namespace load_balancer
--- a/src/load_balancer/host_table.cpp
+++ b/src/load_balancer/host_table.cpp
@@ -5,13 +5,13 @@
 namespace load_balancer {
 
 HostTable::Lookup HostTable::find_or_add(const std::string& address) {
-  const HostId next = free_.empty() ? static_cast<HostId>(hosts_.size()) : free_.back();
+  const HostId next = free_ids_.empty() ? static_cast<HostId>(hosts_.size()) : free_ids_.back();
   const auto [position, is_new] = ids_.emplace(address, next);
   if (is_new) {
-    if (free_.empty()) {
+    if (free_ids_.empty()) {
       hosts_.emplace_back();
     } else {
-      free_.pop_back();
+      free_ids_.pop_back();
     }
     hosts_[next].hash = hash_text(address);
   }
@@ -27,7 +27,7 @@
   ids_.erase(hosts_[id].endpoint.address);
   hosts_[id] = Host{};
   hosts_[id].endpoint.state = EndpointState::removed;
-  free_.push_back(id);
+  free_ids_.push_back(id);
 }
 
 }  // namespace load_balancer
--- a/src/load_balancer/host_table.hpp
+++ b/src/load_balancer/host_table.hpp
@@ -10,7 +10,8 @@
 
 namespace load_balancer {
 
-// Ids of forgotten hosts are assigned again.
+// Owns the hosts. An id is an index that stays valid until the host is forgotten; it is then
+// assigned again. References to hosts are invalidated when a host is added.
 class HostTable {
  public:
   struct Lookup {
@@ -18,8 +19,10 @@
     bool is_new;  // the id was assigned by this call
   };
 
+  // Adds a host with this address if there is none.
   Lookup find_or_add(const std::string& address);
   HostId find(std::string_view address) const;  // kNone: no such host
+  // Resets the host, in state EndpointState::removed, and releases its id.
   void forget(HostId id);
 
   Host& operator[](HostId id) { return hosts_[id]; }
@@ -31,7 +34,7 @@
  private:
   std::vector<Host> hosts_;
   std::unordered_map<std::string, HostId> ids_;
-  std::vector<HostId> free_;
+  std::vector<HostId> free_ids_;
 };
 
 }  // namespace load_balancer
