--- a/include/load_balancer/actions.hpp
+++ b/include/load_balancer/actions.hpp
@@ -1,4 +1,4 @@
-// What the embedding proxy has to do after an event: one type for each action.
+// Actions that the embedding proxy has to carry out after an event: one type for each.
 #pragma once
 
 #include <cstdint>
@@ -15,19 +15,21 @@
   std::uint32_t attempt = 0;  // number of the attempt within the request, from 0
   HostId host = kNone;
   Duration timeout{};  // time limit of the whole attempt
-  // The host must receive the first byte within this time. Otherwise the attempt must not begin and
-  // counts as AttemptOutcome::not_sent: the deduplication window of an earlier attempt closes then.
+  // The host must receive the first byte within this time, because the deduplication window of an
+  // earlier attempt closes then. Otherwise the attempt must not begin and is reported as
+  // AttemptOutcome::not_sent.
   // Duration::max(): no such bound.
   Duration must_start_within = Duration::max();
 };
 
-// Answer the client that the request was rejected and had no effect, so that a retry is safe.
+// Respond to the client that the request was rejected. It had no effect or may run again without
+// harm, so that a retry is safe.
 struct RejectRequest {
   RequestId request = 0;
-  Duration retry_after{};  // wait that the client is asked for; zero: none is named
+  Duration retry_after{};  // wait before a retry that the client is asked for; zero: none
 };
 
-// Answer the client with an error. The request may have had an effect.
+// Respond to the client with an error. The request may have had an effect.
 struct FailRequest {
   RequestId request = 0;
 };
@@ -43,7 +45,8 @@
   HostId host = kNone;
 };
 
-// The host is no longer listed and no active request names it. Its id may be assigned again.
+// Drop what is stored for the host: it is no longer listed and no active request refers to it. Its
+// id may be assigned again.
 struct ForgetHost {
   HostId host = kNone;
 };
@@ -54,7 +57,7 @@
   Time at{};
 };
 
-// Ask service discovery for the endpoint list.
+// Request the endpoint list from service discovery.
 struct PollEndpoints {};
 
 // Write a line to the log, in the form `event key=value ...`.
@@ -66,8 +69,8 @@
     std::variant<SendAttempt, RejectRequest, FailRequest, CancelAttempt, CloseIdleConnections,
                  ForgetHost, ScheduleWakeup, PollEndpoints, LogMessage>;
 
-// Combines one handler per action into a visitor for std::visit, which rejects at compile time an
-// action without a handler.
+// Combines one handler per action into a visitor for std::visit. An action without a handler is an
+// error at compile time.
 template <class... Handlers>
 struct ActionVisitor : Handlers... {
   using Handlers::operator()...;
--- a/include/load_balancer/events.hpp
+++ b/include/load_balancer/events.hpp
@@ -1,4 +1,4 @@
-// What the embedding proxy tells a Balancer.
+// Events that the embedding proxy passes to a Balancer.
 #pragma once
 
 #include <cstdint>
@@ -22,34 +22,34 @@
 };
 
 enum class EndpointUpdateKind {
-  delta,       // names the endpoints that changed
-  snapshot,    // names all endpoints; the others are removed
+  delta,       // lists the endpoints that changed
+  snapshot,    // lists all endpoints; the others are removed
   restored,    // a snapshot from a cache, possibly out of date
-  unavailable  // discovery did not answer; no entries
+  unavailable  // discovery did not respond; no entries
 };
 
-// A request that a client has sent.
+// A request from a client.
 struct Request {
   RequestId id = 0;
   std::uint32_t class_index = kNone;   // into Settings::classes
   std::uint32_t tenant_index = kNone;  // into Settings::tenants
-  Duration time_remaining{};           // until the client gives up
+  Duration time_remaining{};           // until the client stops waiting
   Duration cost{};                     // expected service time; zero = unknown
   std::uint64_t key = 0;
   bool has_key = false;
-  bool body_pending = false;  // its body is incomplete; its time runs from on_request_complete
+  bool body_pending = false;  // body is incomplete; its time counts from on_request_complete
 };
 
 enum class AttemptOutcome {
   success,
   server_error,      // may have run
-  rejected_by_host,  // the host refused it unprocessed
+  rejected_by_host,  // the host rejected it unprocessed
   timeout,           // may have run
   connect_failed,    // never ran
   reset,             // may have run
   cancelled,         // may have run
   not_sent,          // never ran
-  bad_request        // the request itself is at fault; may have run
+  bad_request        // the request itself is invalid; may have run
 };
 
 // The end of an attempt. Each SendAttempt must be followed by one result.
@@ -59,11 +59,11 @@
   HostId host = kNone;
   AttemptOutcome outcome = AttemptOutcome::success;
   Duration elapsed{};             // since the attempt was sent
-  bool is_final = false;          // the client needs no further answer
-  bool request_consumed = false;  // the request is no longer stored and can't be sent again
+  bool is_final = false;          // the client needs no further response
+  bool request_consumed = false;  // the request is no longer stored and cannot be sent again
 };
 
-// What a host reports of its load by all gateways together. It is delayed and noisy.
+// Load that a host reports, caused by all gateways together. It is delayed and noisy.
 struct LoadReport {
   double utilization = -1;         // of its cores, 0 to 1; negative: not reported
   Duration recent_service_time{};  // recent time per response without queueing; 0: not reported
--- a/include/load_balancer/load_balancer.hpp
+++ b/include/load_balancer/load_balancer.hpp
@@ -1,8 +1,8 @@
 // Load balancing, admission control and retries for a fleet of HTTP gateways.
 //
-// The embedding proxy feeds a Balancer with events and the time, and carries out the actions that
-// it returns. The Balancer does no I/O, reads no clock, starts no thread and keeps no globals: the
-// same settings, seed and events give the same actions. It is not thread-safe.
+// The embedding proxy passes events with their time to a Balancer and carries out the actions that
+// it returns. The Balancer does no I/O, reads no clock, starts no thread and has no global state:
+// the same settings, seed and events give the same actions. It is not thread-safe.
 //
 // An event that names an unknown request, attempt or host is ignored, as is a second request under
 // an id that is still active. A request of an unknown class is handled as
@@ -25,13 +25,13 @@
 
 class Balancer {
  public:
-  // Throws std::invalid_argument, which names the setting that is wrong.
+  // Throws std::invalid_argument, whose message names the invalid setting.
   Balancer(Settings settings, Time now);
   ~Balancer();
   Balancer(Balancer&&) noexcept;
   Balancer& operator=(Balancer&&) noexcept;
 
-  // Service discovery has answered, or failed to (EndpointUpdateKind::unavailable).
+  // Service discovery has responded, or has failed to (EndpointUpdateKind::unavailable).
   void on_endpoint_update(Time now, EndpointUpdateKind kind, const std::vector<Endpoint>& entries);
 
   void on_request(Time now, const Request& request);
@@ -39,7 +39,7 @@
   // The body of a request with Request::body_pending is complete.
   void on_request_complete(Time now, RequestId request);
 
-  // The response to an attempt has begun to reach the client, so other attempts are of no use.
+  // The response to an attempt has begun to reach the client, so other attempts are useless.
   void on_response_started(Time now, RequestId request, std::uint32_t attempt);
 
   void on_attempt_result(Time now, const AttemptResult& result);
@@ -51,19 +51,19 @@
   void on_client_disconnected(Time now, RequestId request);
 
   // An operator puts a host into maintenance or ends it. Meanwhile nothing is sent to the host,
-  // even if it is listed. Afterwards it counts as started at `now`, unless the endpoint list names
-  // a start within the maintenance.
+  // even if it is listed. When the maintenance ends, the host counts as started at `now`, unless
+  // the endpoint list names a start within the maintenance.
   void set_maintenance(Time now, const std::string& address, bool in_maintenance);
 
-  // Fraction of the budgets for hosts that are warming up, 0 to 1: less than 1 while another
-  // process serves the same gateway.
+  // Sets the fraction, 0 to 1, of its budgets for hosts that are warming up that this process may
+  // use: less than 1 while another process serves the same gateway.
   void set_budget_fraction(Time now, double fraction);
 
   // Limits the retries and hedged requests over all requests until the next call. There is no limit
   // before the first call.
   void set_retry_allowance(Time now, std::uint64_t retries);
 
-  // The time of a ScheduleWakeup has come. Additional calls do no harm.
+  // The time of a ScheduleWakeup has been reached. Additional calls are harmless.
   void on_wakeup(Time now);
 
   // Actions since they were last cleared, in the order in which they have to be carried out. The
@@ -74,10 +74,10 @@
   HostId find_host(std::string_view address) const;
   const std::string& address(HostId host) const;
 
-  // Requests with a lower priority score are shed now: 0 to 100.
+  // Requests with a lower priority score are shed at present; 0 to 100.
   double shedding_threshold() const;
 
-  // Requests without an answer or with attempts in flight.
+  // Number of requests without a response or with attempts in flight.
   std::size_t active_requests() const;
 
  private:
--- a/include/load_balancer/settings.hpp
+++ b/include/load_balancer/settings.hpp
@@ -49,7 +49,7 @@
   double quota_per_second = 0;  // requests per second over all gateways; 0 = no quota
 };
 
-// Settings of a gateway's Balancer. Those that make no sense are rejected by its constructor.
+// Settings of a gateway's Balancer. Its constructor rejects invalid ones.
 struct Settings {
   std::uint64_t seed = 1;           // of the pseudo-random decisions
   std::uint32_t gateway_count = 1;  // gateways in the fleet, this one included
@@ -57,23 +57,23 @@
   std::string zone;                 // of this gateway
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
-  double over_quota_weight = 0.1;  // 0 to 1: factor on the priority of requests beyond the quota
-  bool poll_discovery = false;     // the endpoint list arrives only when it is polled
+  double over_quota_weight = 0.1;  // 0 to 1: factor on the priority weight beyond the quota
+  bool poll_discovery = false;     // the endpoint list is updated only by polling
   // Endpoint::weight falls with the load of a host: size / (1 + requests in flight per core).
   bool dynamic_weights = false;
   bool allow_hedging = false;       // a second attempt may run beside the first one
-  bool key_affinity = false;        // a host that lately served a key serves it with less work
+  bool key_affinity = false;        // a host that recently served a key serves it with less work
   bool send_retry_after = false;    // clients can be given a Retry-After
   bool allow_cancellation = false;  // attempts can be cancelled
   std::uint32_t max_attempts = 1;   // for one request
   std::uint32_t streams_per_connection = 1;  // attempts that a connection carries at a time
   Duration idle_connection_timeout{};        // an unused connection is closed after it; 0 = never
-  Duration max_retry_after{};                // the longest Retry-After that clients heed
+  Duration max_retry_after{};                // the longest Retry-After that clients respect
   Duration max_poll_interval{};     // the longest time between two polls of discovery; 0 = no limit
-  Duration event_batch_interval{};  // events are handed over at this spacing: delay of the clock
+  Duration event_batch_interval{};  // between batches of events: their largest delay
   Duration warmup_duration{};       // time from the start of a host to its full capacity
   double initial_warmup_fraction = 1;  // above 0, up to 1: capacity at the start, growing linearly
-  // A host that is warming up collapses under this multiple of its current capacity within
+  // A host that is warming up collapses if it receives this multiple of its current capacity within
   // collapse_window.
   double collapse_load_factor = 3;
   Duration collapse_window{};
--- a/include/load_balancer/types.hpp
+++ b/include/load_balancer/types.hpp
@@ -11,7 +11,7 @@
 // Time since any fixed start. It must never go back.
 using Time = std::chrono::nanoseconds;
 
-// Chosen by the caller and never reused.
+// Chosen by the caller and not reused.
 using RequestId = std::uint64_t;
 
 // Assigned by the Balancer when a list first names an address. After ForgetHost it may be assigned
--- a/src/load_balancer/context.hpp
+++ b/src/load_balancer/context.hpp
@@ -1,5 +1,4 @@
-// What all components share: settings, the time of the event, random numbers and the actions so
-// far.
+// State that all components of a Balancer share.
 #pragma once
 
 #include <random>
@@ -15,17 +14,20 @@
 
 namespace load_balancer {
 
-// Interval of the statistics: a few response times.
+// Interval between updates of the statistics: a few response times.
 inline constexpr Duration kSweepInterval = std::chrono::milliseconds(100);
-// Gain per response of a class's typical latency: it covers the last fifty responses.
+// Gain per sample of moving averages that cover about the last fifty samples, such as the typical
+// latency of a class.
 inline constexpr double kMovingAverageGain = 0.02;
 
+// Settings, class states, the time of the present event, random numbers and the actions that the
+// caller has not cleared yet.
 struct Context {
   Settings settings;
   std::vector<ClassState> classes;  // those of the settings and, last, the unknown class
   std::vector<Action> actions;
-  Time now{};
-  Time started{};
+  Time now{};      // of the present event
+  Time started{};  // construction of the Balancer
 
   Context(Settings configuration, Time start)
       : settings(std::move(configuration)), now(start), started(start), engine_(settings.seed) {
@@ -35,25 +37,32 @@
     classes.push_back({unknown_class_settings(settings.classes.front())});
   }
 
-  // Not by std distributions, which differ between standard libraries.
+  // Random number in [0, 1). Does not use the std distributions, which differ between standard
+  // libraries.
   double draw_unit() { return to_unit_interval(engine_()); }
-  std::size_t draw_below(std::size_t n) {
-    return static_cast<std::size_t>(draw_unit() * static_cast<double>(n));
+  // Random number from 0 to `bound` - 1.
+  std::size_t draw_below(std::size_t bound) {
+    return static_cast<std::size_t>(draw_unit() * static_cast<double>(bound));
   }
-  // Built in place: GCC 12 warns of a moved variant's other members as uninitialised.
+  // Appends an action. It is constructed in place, because GCC 12 warns that other members of a
+  // moved variant are uninitialised.
   template <class ActionType>
   void emit(ActionType action) {
     actions.emplace_back(std::in_place_type<ActionType>, std::move(action));
   }
+  // Appends a log line.
   void log(std::string text) {
     emit(LogMessage{std::move(text)});
-    logged_ = now;
+    last_log_at_ = now;
+  }
+  // Limits log lines to one per second: callers check it before log().
+  bool may_log() const {
+    return now - last_log_at_ >= std::chrono::seconds(1) || last_log_at_ == Time{};
   }
-  bool may_log() const { return now - logged_ >= std::chrono::seconds(1) || logged_ == Time{}; }
 
  private:
   std::mt19937_64 engine_;
-  Time logged_{};
+  Time last_log_at_{};
 };
 
 }  // namespace load_balancer
--- a/src/load_balancer/hashing.hpp
+++ b/src/load_balancer/hashing.hpp
@@ -6,10 +6,10 @@
 
 namespace load_balancer {
 
-// The splitmix64 finisher: spreads the bits of `value` over the whole word.
+// The splitmix64 finisher: every bit of `value` affects all bits of the result.
 std::uint64_t mix_bits(std::uint64_t value);
 
-// FNV-1a over the bytes of `text`, finished by mix_bits.
+// FNV-1a over the bytes of `text`, followed by mix_bits.
 std::uint64_t hash_text(std::string_view text);
 
 // Maps the upper 53 bits of a random word to [0, 1).
--- a/src/load_balancer/key_frequency.cpp
+++ b/src/load_balancer/key_frequency.cpp
@@ -5,8 +5,8 @@
 namespace load_balancer {
 namespace {
 
-constexpr std::size_t kDecayInterval = 256;  // requests between two halvings
-constexpr double kMinCount = 0.1;            // keys below it are dropped
+constexpr std::size_t kDecayInterval = 256;  // requests between two halvings of the counts
+constexpr double kMinCount = 0.1;            // keys with a lower count are dropped
 
 }  // namespace
 
--- a/src/load_balancer/key_frequency.hpp
+++ b/src/load_balancer/key_frequency.hpp
@@ -1,4 +1,4 @@
-// How much of the recent traffic each key has.
+// Fractions of the recent traffic by key.
 #pragma once
 
 #include <cstddef>
@@ -7,7 +7,8 @@
 
 namespace load_balancer {
 
-// Counts are halved every few hundred requests, which bounds the table to some thousand keys.
+// Counts requests by key. The counts are halved every few hundred requests and small ones are
+// dropped, which bounds the table to some thousand keys.
 class KeyFrequency {
  public:
   // Counts a request of `key` and returns the key's fraction of the recent requests, 0 to 1.
--- a/src/load_balancer/math_helpers.hpp
+++ b/src/load_balancer/math_helpers.hpp
@@ -16,8 +16,8 @@
   return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * factor));
 }
 
-// The sample at `fraction` (0 to 1) of the sorted order; `default_value` without samples. Reorders
-// `samples`.
+// Returns the sample at `fraction` (0 to 1) of the sorted order, or `default_value` without
+// samples. Reorders `samples`.
 double quantile(std::vector<double>& samples, double fraction, double default_value);
 
 }  // namespace load_balancer
