--- a/src/load_balancer/machine_type.hpp
+++ b/src/load_balancer/machine_type.hpp
@@ -21,7 +21,7 @@
 
   // From load reports; the first two are decayed sums.
   double reported_successes = 0;     // successful responses to this gateway
-  double reported_busy_seconds = 0;  // busy seconds of its hosts, as warm hosts
+  double reported_busy_seconds = 0;  // busy time of its hosts, scaled by their warm-up fraction
   double service_time = 0;           // seconds per response of a warm host, without queueing
   double capacity = 0;  // successes per second to this gateway by a warm host that is always busy
 };
