--- a/src/load_balancer/slow_start.cpp
+++ b/src/load_balancer/slow_start.cpp
@@ -5,73 +5,94 @@
 namespace load_balancer {
 namespace {
 
-// Load of a cold host, as a part of the multiple that fells it: by load reports, by what warm ones
-// carried.
-constexpr double kReportedCapacityFraction = 0.30, kConfirmedCapacityFraction = 0.45;
-constexpr double kSafetySigmas = 4;  // and the multiple must lie so many times the scatter above it
-// per sweep: proven rates of a machine kind fade over half a minute
+// Target load of a warming host, as a fraction of the load at which it collapses. The first applies
+// if only load reports are known, the second if warm hosts of its machine type have confirmed a
+// rate.
+constexpr double kReportedCapacityFraction = 0.30;
+constexpr double kConfirmedCapacityFraction = 0.45;
+// Distance between the mean load and the collapse load, in standard deviations of the number of
+// requests in a collapse window.
+constexpr double kSafetySigmas = 4;
+// Per sweep: the confirmed rate of a machine type fades over half a minute.
 constexpr double kConfirmedRateDecay = 0.997;
-constexpr double kTokenLifetimeWindows = 0.5;  // windows
-// By load reports. So many answers count for what was supposed before, and so many are remembered.
-constexpr double kReportPrior = 2, kReportMemory = 40;
-constexpr double kReportDecay = 0.995;  // per sweep: and for some twenty seconds
-constexpr double kServiceTimeGain = 0.2,
-                 kMinReportedUtilization = 0.05;  // per report; who says less says nothing
-constexpr Duration kMaxReportGap = std::chrono::seconds(10);  // a longer silence tells nothing more
-// What a strong host bears fells a weak one. Taken of an even share, of the capacity of the
-// pool.
-constexpr double kUniformPriorFactor = 0.35, kMachineTypePriorFactor = 0.5;
+constexpr double kTokenLifetimeWindows = 0.5;  // collapse windows
+// Weight of the assumed capacity beside the load reports, in successes.
+constexpr double kReportPrior = 2;
+// Load reports are remembered for this many successes,
+constexpr double kReportMemory = 40;
+// and over about 20 s (factor per sweep).
+constexpr double kReportDecay = 0.995;
+constexpr double kServiceTimeGain = 0.2;  // per report
+// A lower report counts as this, so that hosts that report no load do not appear unlimited.
+constexpr double kMinReportedUtilization = 0.05;
+// A report describes recent load only, so a longer gap since the last one counts as this.
+constexpr Duration kMaxReportGap = std::chrono::seconds(10);
+// Capacity assumed for a machine type without load reports. It may be much weaker than the others,
+// so the assumption is a fraction: of the mean request rate per host if no host has reported a
+// service time, else of the mean capacity of the reporting hosts.
+constexpr double kUniformPriorFactor = 0.35;
+constexpr double kMachineTypePriorFactor = 0.5;  // also the speed assumed without a service time
 
 }  // namespace
 
-// All gateways together push a cold host over. Each keeps to its own part, refused attempts
-// counted. It may be a small part of a request a window; a floor of one, times hundreds of
-// gateways, would be a flood.
+// The load of all gateways together makes a warming host collapse, so each gateway keeps to its own
+// part, in which attempts that the host rejects count too. The part may be a small fraction of a
+// request per window: a lower bound of one request, times hundreds of gateways, would overload the
+// host.
 bool SlowStart::try_admit(Host& host) {
   if (!fleet_.is_warming_up(host)) {
     return true;
   }
-  const double window = std::max(to_seconds(context_.settings.collapse_window), 0.1);
-  const double rate = safe_rate(host, window) * budget_fraction_;
-  // Permits that many gateways save up, one each, are spent together when their traffic
-  // swings. So each comes at its time and lapses soon.
+  const double window_seconds = std::max(to_seconds(context_.settings.collapse_window), 0.1);
+  const double rate = safe_rate(host, window_seconds) * budget_fraction_;
+  // If each of many gateways saved a token, a rise of the traffic would spend them all at once.
+  // So tokens accrue continuously, at most one is available, and it expires soon.
   host.warmup_tokens += rate * to_seconds(context_.now - host.warmup_tokens_at);
   host.warmup_tokens_at = context_.now;
   if (host.warmup_tokens >= 2) {
     host.warmup_tokens = 1 + std::fmod(host.warmup_tokens, 1);
   }
-  return host.warmup_tokens >= 1 && host.warmup_tokens - 1 <= rate * window * kTokenLifetimeWindows;
+  return host.warmup_tokens >= 1 &&
+         host.warmup_tokens - 1 <= rate * window_seconds * kTokenLifetimeWindows;
 }
 
-// Requests a second from us that the host bears beside those of the others.
-double SlowStart::safe_rate(const Host& host, double window) const {
+// Requests per second that this gateway may send to the host, if all other gateways do the same.
+double SlowStart::safe_rate(const Host& host, double window_seconds) const {
   const MachineType& machine_type = fleet_.machine_type_of(host);
-  // What warm ones of its kind were seen to carry; else, when all are cold, what the reports teach.
-  // These teach too little of hosts that are crowded, less is sent, and refusals go on.
-  const bool proven = machine_type.confirmed_rate > 0;
-  const double part = proven ? kConfirmedCapacityFraction * (2 + admission_.confidence()) / 3
-                             : kReportedCapacityFraction;
-  const double borne = (proven ? machine_type.confirmed_rate : machine_type.capacity) *
-                       fleet_.warmup_fraction(host) * context_.settings.collapse_load_factor;
-  // Beside a limit of few requests a window, chance alone fells a host: sums scatter by the
-  // root.
-  const double bank = window * context_.settings.gateway_count;
-  const double root =
-      (std::sqrt(kSafetySigmas * kSafetySigmas + 4 * borne * bank) - kSafetySigmas) / 2;
-  return std::min(part * borne, root * root / bank);
+  // The rate that warm hosts of its machine type have served; the capacity by load reports applies
+  // only if there is none. Reports of overloaded hosts give too low a capacity: by them less would
+  // be sent to the warming hosts, and requests would be shed for longer.
+  const bool is_confirmed = machine_type.confirmed_rate > 0;
+  const double capacity_fraction =
+      is_confirmed ? kConfirmedCapacityFraction * (2 + admission_.confidence()) / 3
+                   : kReportedCapacityFraction;
+  const double collapse_rate =
+      (is_confirmed ? machine_type.confirmed_rate : machine_type.capacity) *
+      fleet_.warmup_fraction(host) * context_.settings.collapse_load_factor;
+  // If the limit is a few requests per window, random bursts alone make a host collapse: with a
+  // mean of m requests the standard deviation is sqrt(m). This is the largest mean for which
+  // m + kSafetySigmas * sqrt(m) stays within the limit.
+  const double gateway_seconds = window_seconds * context_.settings.gateway_count;
+  const double sqrt_mean =
+      (std::sqrt(kSafetySigmas * kSafetySigmas + 4 * collapse_rate * gateway_seconds) -
+       kSafetySigmas) /
+      2;
+  return std::min(capacity_fraction * collapse_rate, sqrt_mean * sqrt_mean / gateway_seconds);
 }
 
-// Since our last answer from it the host was about as busy as it says, for all gateways, and served
-// us one. Our part of what it can do is answers over busy time, summed over a kind, so that no
-// single host can lie much.
+// The reported utilization, by the load of all gateways, is taken for the time since the host's
+// last report, in which the host has served this gateway one response. Successes divided by busy
+// time are this gateway's part of the capacity. Both are summed over the machine type, which bounds
+// the effect of a host that reports wrong values.
 void SlowStart::on_load_report(Host& host, const LoadReport& report) {
   MachineType& machine_type = fleet_.machine_type_of(host);
   if (report.recent_service_time > Duration{}) {
-    const double took = to_seconds(report.recent_service_time) * fleet_.warmup_fraction(host);
-    machine_type.service_time +=
-        (machine_type.service_time > 0 ? kServiceTimeGain : 1) * (took - machine_type.service_time);
+    const double service_time =
+        to_seconds(report.recent_service_time) * fleet_.warmup_fraction(host);
+    machine_type.service_time += (machine_type.service_time > 0 ? kServiceTimeGain : 1) *
+                                 (service_time - machine_type.service_time);
     mean_service_time_ +=
-        (mean_service_time_ > 0 ? kServiceTimeGain : 1) * (took - mean_service_time_);
+        (mean_service_time_ > 0 ? kServiceTimeGain : 1) * (service_time - mean_service_time_);
   }
   if (!(report.utilization >= 0)) {
     return;
@@ -82,9 +103,10 @@
                                         fleet_.warmup_fraction(host) * to_seconds(gap);
 }
 
-// What a warm host of each kind carried and could carry. In a deploy of nearly all the last
-// warm ones are buried, and their sinking rates would starve the cold ones that could help; hence a
-// slow decay.
+// Updates for each machine type the rate that a warm host has served and its estimated capacity.
+// When nearly all hosts restart, the last warm ones are overloaded and their rates fall. If the
+// confirmed rate followed at once, the warming hosts would get too few requests to relieve them;
+// hence its slow decay.
 void SlowStart::sweep() {
   for (MachineType& machine_type : fleet_.machine_types()) {
     machine_type.served = machine_type.warm_hosts = 0;
@@ -92,18 +114,19 @@
   for (std::size_t i = 0; i < fleet_.subset_order().size(); ++i) {
     Host& host = fleet_.at(fleet_.subset_order()[i]);
     if (i < fleet_.subset_size() && !fleet_.is_warming_up(host) &&
-        !is_unhealthy(host)) {  // of the others we ask little
+        !is_unhealthy(host)) {  // the others get too few requests to show what they can serve
       fleet_.machine_type_of(host).served += host.served;
       fleet_.machine_type_of(host).warm_hosts += 1;
     }
     host.served = 0;
   }
-  const double even = std::max(
+  const double uniform_rate = std::max(
       admission_.arrival_rate() / std::max(static_cast<double>(fleet_.subset_size()), 1.0), 1e-6);
-  double answers = kReportPrior;
-  double busy = kReportPrior / even;
+  double successes = kReportPrior;
+  double busy_seconds = kReportPrior / uniform_rate;
   for (const MachineType& machine_type : fleet_.machine_types()) {
-    answers += machine_type.reported_successes, busy += machine_type.reported_busy_seconds;
+    successes += machine_type.reported_successes,
+        busy_seconds += machine_type.reported_busy_seconds;
   }
   for (MachineType& machine_type : fleet_.machine_types()) {
     if (machine_type.warm_hosts > 0) {
@@ -114,19 +137,21 @@
     }
     machine_type.confirmed_rate =
         std::max(machine_type.success_rate, machine_type.confirmed_rate * kConfirmedRateDecay);
-    const double faster = machine_type.service_time > 0
-                              ? std::clamp(mean_service_time_ / machine_type.service_time, 0.3, 3.0)
-                              : kMachineTypePriorFactor;
-    const double prior = kMachineTypePriorFactor * faster * answers / busy;
+    const double relative_speed =
+        machine_type.service_time > 0
+            ? std::clamp(mean_service_time_ / machine_type.service_time, 0.3, 3.0)
+            : kMachineTypePriorFactor;
+    const double prior_capacity =
+        kMachineTypePriorFactor * relative_speed * successes / busy_seconds;
     machine_type.capacity = (machine_type.reported_successes + kReportPrior) /
-                            (machine_type.reported_busy_seconds + kReportPrior / prior);
+                            (machine_type.reported_busy_seconds + kReportPrior / prior_capacity);
     if (mean_service_time_ <= 0) {
-      machine_type.capacity = kUniformPriorFactor * even;
+      machine_type.capacity = kUniformPriorFactor * uniform_rate;
     }
-    const double keep =
+    const double retention =
         std::min(kReportDecay, kReportMemory / std::max(machine_type.reported_successes, 1.0));
-    machine_type.reported_successes *= keep;
-    machine_type.reported_busy_seconds *= keep;
+    machine_type.reported_successes *= retention;
+    machine_type.reported_busy_seconds *= retention;
   }
 }
 
