--- a/src/load_balancer/connection_tracker.cpp
+++ b/src/load_balancer/connection_tracker.cpp
@@ -3,15 +3,17 @@
 namespace load_balancer {
 namespace {
 
-// beyond its own hosts a gateway gives them back
+// Connections to a host outside the subset are closed if they were unused for this time.
 constexpr Duration kUnusedHostTimeout = std::chrono::seconds(5);
-// Something on the way may drop idle connections unseen, and what is sent on one is lost
-// without a word. Losses are counted by how long the connection lay idle, in steps that double from
-// here on;
+// A middlebox may drop idle connections without closing them, and a request sent over such a
+// connection is lost without an error. Losses are counted by the idle time of the connection, in
+// steps: the first one begins at this idle time, and each further one at twice the last.
 constexpr Duration kIdleStep = std::chrono::milliseconds(250);
-constexpr double kLossGain = 0.2;     // per attempt: over the last five of its step
-constexpr double kLossDecay = 0.005;  // per sweep: tried again after some twenty seconds
-// lost so often, and over the share lost on fresh ones, it is given back
+constexpr double kLossGain = 0.2;  // per attempt: over the last five of its step
+// Per sweep: connections with a high loss rate are used again after about 20 s.
+constexpr double kLossDecay = 0.005;
+// Idle connections are closed instead of used if their loss rate exceeds that of connections
+// without idle time by this much.
 constexpr double kMaxExcessLoss = 0.3;
 
 }  // namespace
@@ -31,15 +33,15 @@
 }
 
 void ConnectionTracker::on_attempt_result(const Attempt& attempt, AttemptOutcome outcome) {
-  const bool gone = outcome == AttemptOutcome::timeout || outcome == AttemptOutcome::reset;
-  if (gone || outcome == AttemptOutcome::success || outcome == AttemptOutcome::server_error ||
+  const bool is_lost = outcome == AttemptOutcome::timeout || outcome == AttemptOutcome::reset;
+  if (is_lost || outcome == AttemptOutcome::success || outcome == AttemptOutcome::server_error ||
       outcome == AttemptOutcome::rejected_by_host) {
-    idle_loss_.record(attempt.idle_step, gone, kLossGain);
+    idle_loss_.record(attempt.idle_step, is_lost, kLossGain);
   }
 }
 
-// Connections kept to hosts that are no longer our own add up to their caps and shut others
-// out.
+// Hosts limit their connections. If every gateway kept those to hosts that it used only while its
+// own subset had no idle host, hosts would reach their limit and refuse other gateways.
 void ConnectionTracker::sweep() {
   idle_loss_.decay(kLossDecay);
   for (std::size_t i = fleet_.subset_size(); i < fleet_.subset_order().size(); ++i) {
@@ -54,7 +56,8 @@
   }
 }
 
-bool ConnectionTracker::has_free_stream(const Host& host) const {  // an open connection has room
+// Connections are closed after Settings::idle_connection_timeout without an attempt.
+bool ConnectionTracker::has_free_stream(const Host& host) const {
   const bool closed = context_.settings.idle_connection_timeout > Duration{} &&
                       host.in_flight == 0 &&
                       context_.now - host.last_used_at >= context_.settings.idle_connection_timeout;
@@ -68,7 +71,8 @@
   if (!has_free_stream(host) || host.in_flight > 0) {
     return step;
   }
-  for (Duration t = kIdleStep; step + 1 < kSteps && context_.now - host.last_used_at >= t; t *= 2) {
+  for (Duration step_start = kIdleStep;
+       step + 1 < kSteps && context_.now - host.last_used_at >= step_start; step_start *= 2) {
     ++step;
   }
   return step;
--- a/src/load_balancer/connection_tracker.hpp
+++ b/src/load_balancer/connection_tracker.hpp
@@ -1,5 +1,5 @@
-// The connections to hosts as far as decisions depend on them: whether one has a free stream,
-// whether it was idle for so long that it is likely closed, and which to close.
+// The connections to hosts, as far as decisions depend on them: whether one has a free stream,
+// whether it was idle for so long that it is likely closed, and which ones to close.
 #pragma once
 
 #include "load_balancer/active_requests.hpp"
@@ -8,26 +8,32 @@
 
 namespace load_balancer {
 
+// Estimates the state of the connections from the attempts sent and their results: the embedding
+// proxy, which owns the connections, does not report it. Closes them by CloseIdleConnections.
 class ConnectionTracker {
  public:
   ConnectionTracker(Context& context, HostSet& fleet) : context_(context), fleet_(fleet) {}
 
-  // A connection with a free stream is open.
+  // True if a connection with a free stream is open and not likely closed by others.
   bool has_open_connection(const Host& host) const {
     return has_free_stream(host) && !likely_closed(idle_step(host));
   }
-  // A connection is open or may be opened.
+  // True if a connection with a free stream is open, or a new one may be opened.
   bool may_use(const Host& host) const {
     return context_.now >= host.connect_backoff_until || has_open_connection(host);
   }
-  // Counts the connection that the attempt uses, and closes those that are likely closed by others.
+  // Sets the attempt's idle_step and new_connection and counts the connection that it uses. Closes
+  // the host's idle connections first if they are likely closed by others.
   void on_attempt_sent(Host& host, HostId id, Attempt& attempt);
+  // Updates the loss rate of the idle time of the attempt's connection.
   void on_attempt_result(const Attempt& attempt, AttemptOutcome outcome);
+  // Closes unused connections to hosts outside the subset. To be called every kSweep.
   void sweep();
 
  private:
-  static constexpr std::size_t kSteps = 8;
+  static constexpr std::size_t kSteps = 8;  // of idle time
   bool has_free_stream(const Host& host) const;
+  // Step of the host's idle time; 0: under way, just used, or a new connection is needed.
   std::size_t idle_step(const Host& host) const;
   bool likely_closed(std::size_t step) const;
 
--- a/src/load_balancer/discovery_poller.cpp
+++ b/src/load_balancer/discovery_poller.cpp
@@ -3,9 +3,10 @@
 namespace load_balancer {
 namespace {
 
-// Before the jitter of a half. What discovery has binds 6 s after it can be reached again,
-// whatever the settings say of asking. Two calls may have been lost to its silence by then, and it
-// may answer two seconds late: see Discovery::Waits for the sum.
+// Mean wait after a failed poll, before a jitter of +-50 %. The endpoint list must be in force 6 s
+// after discovery can be reached again, whatever Settings::max_poll_interval is. In that time a
+// call may be lost (2.1 s until it is overdue, see DiscoveryClient::Waits), this wait passes (1.65
+// s at most) and the response to the next call may take 2.1 s.
 constexpr Duration kRetryDelay = std::chrono::milliseconds(1100);
 
 }  // namespace
@@ -13,30 +14,31 @@
 void DiscoveryPoller::on_endpoint_update(EndpointUpdateKind kind) {
   if (kind == EndpointUpdateKind::unavailable) {
     polling_ = false;
-    // A limit set after the jitter makes all gateways come back in one moment.
-    const Duration wait = context_.settings.max_poll_interval > Duration{}
-                              ? std::min(kRetryDelay, context_.settings.max_poll_interval / 5)
-                              : kRetryDelay;
-    next_poll_at_ = context_.now + scaled(wait, 0.5 + context_.draw_unit());
+    // Limited before the jitter: a limit after it would make all gateways poll at the same moment.
+    const Duration mean_wait = context_.settings.max_poll_interval > Duration{}
+                                   ? std::min(kRetryDelay, context_.settings.max_poll_interval / 5)
+                                   : kRetryDelay;
+    next_poll_at_ = context_.now + scaled(mean_wait, 0.5 + context_.draw_unit());
   } else if (kind == EndpointUpdateKind::restored) {
     if (context_.settings.poll_discovery) {
-      next_poll_at_ = context_.now;  // it may be stale: ask at once
+      next_poll_at_ = context_.now;  // the list may be stale
     }
   } else {
-    answered_ = true;
+    responded_ = true;
   }
 }
 
 void DiscoveryPoller::poll_if_due() {
-  // A call whose answer is lost would leave the gateway silent towards discovery for good.
-  const bool lost = !answered_ && context_.settings.max_poll_interval > Duration{} &&
-                    context_.now - polled_at_ > context_.settings.max_poll_interval / 2;
-  if (!context_.settings.poll_discovery || (polling_ && !lost) || context_.now < next_poll_at_) {
+  // Without this a lost response would end polling for good.
+  const bool is_response_lost = !responded_ && context_.settings.max_poll_interval > Duration{} &&
+                                context_.now - polled_at_ > context_.settings.max_poll_interval / 2;
+  if (!context_.settings.poll_discovery || (polling_ && !is_response_lost) ||
+      context_.now < next_poll_at_) {
     return;
   }
   context_.emit(PollEndpoints{});
-  polling_ = true;  // until it fails
-  answered_ = false;
+  polling_ = true;
+  responded_ = false;
   polled_at_ = context_.now;
 }
 
--- a/src/load_balancer/idle_loss_estimator.hpp
+++ b/src/load_balancer/idle_loss_estimator.hpp
@@ -6,12 +6,13 @@
 
 namespace load_balancer {
 
-// The estimates never fall with the idle time: a loss also counts for all longer times, an attempt
-// that arrived for all shorter ones.
+// The loss rate as a function of the idle time, in KSteps steps; step 0: no idle time. It does not
+// fall as the idle time grows: a loss also counts for all longer idle times, and an attempt that
+// arrived for all shorter ones. A loss at step 0 is not due to idleness and counts for it alone.
 template <std::size_t KSteps>
 class IdleLossEstimator {
  public:
-  // Fraction of the attempts that were lost at that step of idle time, 0 to 1.
+  // Fraction of the attempts that were lost at that step, 0 to 1.
   double loss_rate(std::size_t step) const { return loss_rates_[step]; }
   // Moves the estimates by `gain` (0 to 1) towards an outcome at `step`.
   void record(std::size_t step, bool lost, double gain) {
@@ -21,6 +22,7 @@
       loss_rates_[i] += gain * ((lost ? 1 : 0) - loss_rates_[i]);
     }
   }
+  // Lowers all estimates by `fraction` (0 to 1) of their value.
   void decay(double fraction) {
     for (double& rate : loss_rates_) {
       rate *= 1 - fraction;
