--- a/src/load_balancer/request_scheduler.cpp
+++ b/src/load_balancer/request_scheduler.cpp
@@ -3,25 +3,25 @@
 namespace load_balancer {
 namespace {
 
-// A hedged request is sent after this multiple of the expected latency.
+// A hedged attempt is sent after this multiple of the expected latency.
 constexpr double kHedgeLatencies = 2.5;
 // Remaining times that differ by less than this fraction of the client timeout count as equal.
 constexpr double kTimeBucketFraction = 0.02;
-// Lower bound of the Retry-After, as a fraction of the maximum: applies to the highest scores.
+// Lower bound of the Retry-After, as a fraction of the maximum. It applies to the highest scores.
 constexpr double kMinRetryAfterFraction = 0.1;
 
 }  // namespace
 
 void RequestScheduler::on_request(const Request& arrival) {
-  ActiveRequest* opened = requests_.add(arrival.id);
-  if (!opened) {
+  ActiveRequest* added = requests_.add(arrival.id);
+  if (!added) {
     return;
   }
-  ActiveRequest& request = *opened;
+  ActiveRequest& request = *added;
   request.started_at = context.now;
   request.body_pending = arrival.body_pending;
-  const auto known = static_cast<std::uint32_t>(context.settings.classes.size());
-  request.class_index = std::min(arrival.class_index, known);
+  const auto unknown_class = static_cast<std::uint32_t>(context.settings.classes.size());
+  request.class_index = std::min(arrival.class_index, unknown_class);
   ClassState& class_state = context.classes[request.class_index];
   const double cost = to_seconds(arrival.cost);
   if (cost > 0) {
@@ -53,12 +53,14 @@
   }
 }
 
-// A client's first request of an operation comes with its whole timeout, a retry by the client with
-// the rest of it, so the remaining time tells how much of the latency objective was used before.
-// The usual remaining time is the most frequent one, not the median: in an overload client retries
-// outnumber first requests, and by the median first requests would look late, would be shed and
-// retried, which sustains the overload. Remaining times of first requests coincide while those of
-// retries scatter. The estimate is wrong where clients use many different timeouts.
+// Returns the time at which the latency objective of the client's operation passes. The first
+// request of an operation arrives with the whole client timeout, a retry by the client with the
+// rest of it, so the remaining time shows how much of the objective has been used before. The usual
+// remaining time, that of first requests, is the most frequent one and not the median: in an
+// overload client retries outnumber first requests, and by the median first requests would look
+// late, would be shed and retried, which sustains the overload. Remaining times of first requests
+// coincide while those of retries vary. The estimate is wrong if clients use many different
+// timeouts.
 Time RequestScheduler::objective_deadline_of(ActiveRequest& request, const Request& arrival) {
   ClassState& class_state = context.classes[request.class_index];
   const Duration bucket_width = scaled(class_state.settings.client_timeout, kTimeBucketFraction);
@@ -67,16 +69,19 @@
   if (bucket == class_state.usual_bucket) {
     class_state.usual_time_remaining = arrival.time_remaining;
   }
-  const bool usual = arrival.time_remaining > class_state.usual_time_remaining - bucket_width &&
-                     arrival.time_remaining < class_state.usual_time_remaining + bucket_width;
+  const bool has_usual_time_remaining =
+      arrival.time_remaining > class_state.usual_time_remaining - bucket_width &&
+      arrival.time_remaining < class_state.usual_time_remaining + bucket_width;
   const Duration time_used =
-      usual ? Duration{}
-            : std::max(class_state.settings.client_timeout - arrival.time_remaining, Duration{});
+      has_usual_time_remaining
+          ? Duration{}
+          : std::max(class_state.settings.client_timeout - arrival.time_remaining, Duration{});
   return context.now - time_used + class_state.settings.latency_objective +
          scaled(arrival.cost, class_state.settings.latency_objective_per_cost);
 }
 
-// Sends the first attempt.
+// Sends the first attempt. With little traffic a response that misses the latency objective is
+// reported at that moment, not only with the result of the attempt.
 void RequestScheduler::dispatch(ActiveRequest& request) {
   const ClassState& class_state = context.classes[request.class_index];
   if (!send(request)) {
@@ -100,8 +105,8 @@
           std::min<std::size_t>(context.settings.max_attempts, kMaxRecordedAttempts)) {
     return false;
   }
-  // While load is shed, a request that can hardly be answered in time would only take capacity from
-  // others. Otherwise there is capacity to try.
+  // While load is shed, an attempt whose response is expected too late would only take capacity
+  // from other requests. Otherwise there is capacity to try it.
   if (admission.shedding_threshold() > 1 && would_be_late(request, 0)) {
     return false;
   }
@@ -127,14 +132,14 @@
   return true;
 }
 
-// NOLINTNEXTLINE(readability-function-size): too long
+// NOLINTNEXTLINE(readability-function-size): all effects of a result
 void RequestScheduler::on_attempt_result(const AttemptResult& result) {
-  ActiveRequest* found = requests_.find(result.request);
-  if (!found || result.attempt >= found->attempt_count ||
-      !found->attempts[result.attempt].in_flight) {
+  ActiveRequest* active = requests_.find(result.request);
+  if (!active || result.attempt >= active->attempt_count ||
+      !active->attempts[result.attempt].in_flight) {
     return;
   }
-  ActiveRequest& request = *found;
+  ActiveRequest& request = *active;
   Attempt& attempt = request.attempts[result.attempt];
   Host& host = fleet.at(attempt.host);
   attempt.in_flight = false;
@@ -184,8 +189,8 @@
   }
 }
 
-// Attempts count as load from here on. Counted from its first byte, a long upload would make its
-// host look slow and the fleet overloaded.
+// From here on the attempts count as load of their hosts. If they counted from the first byte of
+// the request, a long upload would make its host appear slow and the fleet overloaded.
 void RequestScheduler::on_request_complete(RequestId id) {
   ActiveRequest* request = requests_.find(id);
   if (!request || !request->body_pending) {
@@ -214,8 +219,8 @@
   cancel_attempts(*request, attempt);
 }
 
-// A rejection promises that the request had no effect, so it is sent only if a retry by the client
-// is safe.
+// A rejection states that the request had no effect, so it is sent only if a retry by the client is
+// safe.
 void RequestScheduler::reject_or_fail(ActiveRequest& request) {
   const ClassSettings& class_settings = context.classes[request.class_index].settings;
   bool may_have_run = false;
@@ -235,15 +240,15 @@
   end_request(request);
 }
 
-// The Retry-After grows as the score falls. Jitter keeps clients from returning all at once.
+// The Retry-After grows as the score falls. Its jitter of -50 % to 0 spreads the clients' retries.
 void RequestScheduler::send_rejection(const ActiveRequest& request) {
-  Duration after{};
+  Duration retry_after{};
   if (context.settings.send_retry_after) {
-    after = scaled(context.settings.max_retry_after,
-                   std::max(1 - request.priority_score / 100, kMinRetryAfterFraction) *
-                       (0.5 + 0.5 * context.draw_unit()));
+    retry_after = scaled(context.settings.max_retry_after,
+                         std::max(1 - request.priority_score / 100, kMinRetryAfterFraction) *
+                             (0.5 + 0.5 * context.draw_unit()));
   }
-  context.emit(RejectRequest{request.id, after});
+  context.emit(RejectRequest{request.id, retry_after});
 }
 
 void RequestScheduler::cancel_attempts(ActiveRequest& request, std::uint32_t except) {
@@ -275,12 +280,12 @@
 
 // --- Requests that run one at a time by key ---
 
-// Two requests of one key must neither run at once nor out of order. A request stays in its key's
-// queue until all its attempts have ended, and only the first one of the queue is sent. After an
-// outcome of unknown effect the key has a cooldown. Keys that become free during the loop are
-// appended to it.
+// Requests of one key must neither run at the same time nor out of order. A request stays in the
+// queue of its key until all its attempts have ended, and only the first one in the queue is sent.
+// After an outcome of unknown effect the key has a cooldown, because the host may still process the
+// attempt. Keys that become free during the loop are appended to its list.
 void RequestScheduler::dispatch_queued() {
-  // NOLINTNEXTLINE(modernize-loop-convert): the list grows while it is walked
+  // NOLINTNEXTLINE(modernize-loop-convert): the loop appends to the list
   for (std::size_t i = 0; i < keys_to_dispatch_.size(); ++i) {
     const KeyQueue* queue = key_queues_.find_waiting(keys_to_dispatch_[i]);
     if (!queue) {
@@ -310,12 +315,13 @@
   keys_to_dispatch_.push_back(request.key);
 }
 
-// Latest time at which a response still has a value and still reaches the client.
+// Latest time at which a response still has a value and reaches the client. The margin of two batch
+// intervals covers the delay of the events, once for the attempt and once for its result.
 Time RequestScheduler::latest_useful_time(const ActiveRequest& request) const {
-  const Time end = request.deadline - 2 * context.settings.event_batch_interval;
+  const Time latest = request.deadline - 2 * context.settings.event_batch_interval;
   return context.classes[request.class_index].settings.late_value_fraction > 0
-             ? end
-             : std::min(end,
+             ? latest
+             : std::min(latest,
                         request.objective_deadline - 2 * context.settings.event_batch_interval);
 }
 
@@ -328,8 +334,8 @@
     if (!request || request->ended || request->response_started) {
       continue;
     }
-    // The response deadline covers outcomes that never arrive. A hedged request limits the damage
-    // of a slow host that is not known yet; it is sent only while no load is shed.
+    // The response deadline covers results that never arrive. A hedged attempt limits the delay by
+    // a slow host that outlier detection has not found yet; it is sent only while no load is shed.
     if (timer.kind == TimerKind::key_turn && is_serialized(*request) &&
         request->attempt_count == 0) {
       keys_to_dispatch_.push_back(request->key);
--- a/src/load_balancer/request_scheduler.hpp
+++ b/src/load_balancer/request_scheduler.hpp
@@ -1,5 +1,5 @@
-// The lifecycle of a request: admission, attempts, retries, hedged requests, the queue of its key
-// and its end. A request ends by exactly one of a response, a rejection and a failure.
+// The lifecycle of a request: admission, attempts, retries, hedged attempts, the queue of its key
+// and its end.
 #pragma once
 
 #include <queue>
@@ -11,12 +11,16 @@
 
 namespace load_balancer {
 
+// Runs every active request. A request ends by exactly one of a response, RejectRequest and
+// FailRequest, or with the disconnection of its client; it stays active until the results of all
+// its attempts have arrived.
 class RequestScheduler : SelectionContext {
  public:
   RequestScheduler(const SelectionContext& selection_context, ActiveRequests& requests,
                    HostSelector& selector)
       : SelectionContext(selection_context), requests_(requests), selector_(selector) {}
 
+  // The events of Balancer, under the same names. Unknown ids are ignored.
   void on_request(const Request& arrival);
   void on_request_complete(RequestId id);
   void on_response_started(RequestId id, std::uint32_t attempt);
@@ -27,13 +31,15 @@
       end_request(*request);
     }
   }
+  // Handles the timers that are due.
   void on_wakeup();
   // See Balancer::set_retry_allowance.
   void set_retry_allowance(std::uint64_t retries) { retry_allowance_ = retries; }
+  // Forgets keys without requests and cooldown. To be called every kSweep.
   void sweep() { key_queues_.forget_idle(context.now); }
-  // Sends the requests whose key has become free. To be called after every event.
+  // Sends the queued requests whose key has become free. To be called after every event.
   void dispatch_queued();
-  // Time of the earliest timer; Time::max(): there is none.
+  // Time of the earliest timer of an active request; Time::max(): there is none.
   Time next_timer();
 
  private:
@@ -43,8 +49,8 @@
     return scaled(std::chrono::seconds(1),
                   context.classes[request.class_index].typical_latency * request.cost);
   }
-  // True if a response after that of the `ahead` requests before it is expected too late. Such a
-  // request would block its key and fail in the end.
+  // True if a response, after those to the `ahead` requests before it, is expected too late. Such a
+  // request would delay the others of its key and fail in the end.
   bool would_be_late(const ActiveRequest& request, std::size_t ahead) const {
     return context.now + static_cast<Duration::rep>(ahead + 1) * expected_latency(request) >=
            latest_useful_time(request);
@@ -57,7 +63,10 @@
   }
   void enqueue(ActiveRequest& request);
   void dispatch(ActiveRequest& request);
+  // Sends an attempt if a host may get one and a response in time is possible. False: not sent.
   bool send(ActiveRequest& request);
+  // The same for a retry or hedged attempt, within the retry budget of the gateway and of the
+  // fleet.
   bool retry(ActiveRequest& request) {
     if (retry_tokens_ < 1 || retry_allowance_ == 0 || !send(request)) {
       return false;
@@ -71,6 +80,7 @@
     host.outstanding_attempts.push_back(requests_.reference(request));
     fleet.add_in_flight(host, 1);
   }
+  // Ends the request without a response.
   void reject_or_fail(ActiveRequest& request);
   void send_rejection(const ActiveRequest& request);
   void end_request(ActiveRequest& request) {
@@ -85,11 +95,12 @@
   HostSelector& selector_;
   std::priority_queue<RequestTimer, std::vector<RequestTimer>, std::greater<>> timers_;
   KeyQueues key_queues_;
-  std::vector<std::uint64_t> keys_to_dispatch_;  // may have become free in this event
+  std::vector<std::uint64_t> keys_to_dispatch_;  // those that may have become free in this event
   double retry_tokens_ = kMaxSavedRetryTokens;
-  std::uint64_t retry_allowance_ = UINT64_MAX;  // set from outside this gateway
+  std::uint64_t retry_allowance_ = UINT64_MAX;  // of this gateway, from the budget of the fleet
+  // Retries per request: bounds the extra load when most attempts fail.
   static constexpr double kRetryTokensPerRequest = 0.3;
-  // Retries that may be saved up, beyond those of one second's requests.
+  // Retries that may be saved up beyond those for the requests of one second.
   static constexpr double kMaxSavedRetryTokens = 3;
 };
 
