--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -8,63 +8,70 @@
 namespace load_balancer::wire {
 namespace {
 
-struct BadLine : std::runtime_error {
+// A line that breaks the protocol. The message names the field that is wrong.
+struct MalformedLine : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
+// A field of a line: "name=value".
 struct Pair {
   std::string_view name, value;
 };
 
-// Takes the next space-separated part off the front of `rest`.
-std::string_view next_part(std::string_view& rest) {
+// Removes the next space-separated token from the front of `rest` and returns it.
+std::string_view next_token(std::string_view& rest) {
   const std::size_t end = rest.find(' ');
-  const std::string_view part = rest.substr(0, end);
+  const std::string_view token = rest.substr(0, end);
   rest = end == std::string_view::npos ? std::string_view{} : rest.substr(end + 1);
-  return part;
+  return token;
 }
 
+// Removes the next field from the front of `rest`. False at the end of the line.
 bool next_pair(std::string_view& rest, Pair& pair) {
   while (!rest.empty()) {
-    const std::string_view part = next_part(rest);
-    if (part.empty()) {
+    const std::string_view token = next_token(rest);
+    if (token.empty()) {
       continue;
     }
-    const std::size_t eq = part.find('=');
-    if (eq == std::string_view::npos) {
-      throw BadLine("no '=' in '" + std::string(part) + "'");
+    const std::size_t equals_sign = token.find('=');
+    if (equals_sign == std::string_view::npos) {
+      throw MalformedLine("'" + std::string(token) + "' is not of the form name=value");
     }
-    pair = {part.substr(0, eq), part.substr(eq + 1)};
+    pair = {token.substr(0, equals_sign), token.substr(equals_sign + 1)};
     return true;
   }
   return false;
 }
 
 template <class Number>
-Number number(const Pair& p) {
-  Number n{};
-  const auto [end, error] = std::from_chars(p.value.data(), p.value.data() + p.value.size(), n);
-  if (error != std::errc{} || end != p.value.data() + p.value.size()) {
-    throw BadLine("'" + std::string(p.value) + "' is no number (" + std::string(p.name) + ")");
-  }
-  return n;
+Number to_number(const Pair& pair) {
+  Number value{};
+  const auto [end, error] =
+      std::from_chars(pair.value.data(), pair.value.data() + pair.value.size(), value);
+  if (error != std::errc{} || end != pair.value.data() + pair.value.size()) {
+    throw MalformedLine(std::string(pair.name) + ": '" + std::string(pair.value) +
+                        "' is not a number in range");
+  }
+  return value;
 }
 
-Duration span(const Pair& p) {
-  return Duration(number<std::int64_t>(p));
+Duration to_duration(const Pair& pair) {
+  return Duration(to_number<std::int64_t>(pair));
 }
 
-bool boolean(const Pair& p) {
-  if (p.value == "1" || p.value == "true") {
+bool to_boolean(const Pair& pair) {
+  if (pair.value == "1" || pair.value == "true") {
     return true;
   }
-  if (p.value == "0" || p.value == "false") {
+  if (pair.value == "0" || pair.value == "false") {
     return false;
   }
-  throw BadLine("'" + std::string(p.value) + "' is no bool (" + std::string(p.name) + ")");
+  throw MalformedLine(std::string(pair.name) + ": '" + std::string(pair.value) +
+                      "' is not a boolean (1, true, 0 or false)");
 }
 
-AttemptOutcome outcome_of(int code) {
+// The outcome for a value of the field "disposition".
+AttemptOutcome to_outcome(int code) {
   switch (code) {
     case 10:
       return AttemptOutcome::success;
@@ -83,19 +90,20 @@
     case 80:
       return AttemptOutcome::not_sent;
     default:
-      throw BadLine("unknown disposition " + std::to_string(code));
+      throw MalformedLine("disposition: unknown code " + std::to_string(code));
   }
 }
 
-void append(std::string& out, std::int64_t n) {
+void append_number(std::string& out, std::int64_t number) {
   char buffer[24];
-  const auto end = std::to_chars(buffer, buffer + sizeof buffer, n).ptr;
+  const auto end = std::to_chars(buffer, buffer + sizeof buffer, number).ptr;
   out.append(buffer, end);
 }
 
-// Calls f(index, field) for a path such as "<head>.<index>.<field>".
-template <class F>
-void indexed(std::string_view path, std::string_view head, F f) {
+// Calls visit(index, field) if `path` has the form "<head>.<index>.<field>", with an index up to
+// 1000.
+template <class Visitor>
+void visit_indexed_field(std::string_view path, std::string_view head, Visitor visit) {
   if (path.substr(0, head.size()) != head || path.size() <= head.size() ||
       path[head.size()] != '.') {
     return;
@@ -110,232 +118,246 @@
   if (error != std::errc{} || end != path.data() + dot || index > 1000) {
     return;
   }
-  f(index, path.substr(dot + 1));
+  visit(index, path.substr(dot + 1));
 }
 
-std::vector<std::string> names(std::string_view list) {
-  std::vector<std::string> out;
+// The elements of a comma-separated list, without the empty ones.
+std::vector<std::string> split_list(std::string_view list) {
+  std::vector<std::string> elements;
   for (std::size_t end; !list.empty(); list.remove_prefix(std::min(end + 1, list.size()))) {
     end = std::min(list.find(','), list.size());
     if (end > 0) {
-      out.emplace_back(list.substr(0, end));
+      elements.emplace_back(list.substr(0, end));
     }
   }
-  return out;
+  return elements;
 }
 
+// The element at `index`, up to which the vector grows if needed.
 template <class T>
-T& at(std::vector<T>& v, std::size_t index) {
-  if (v.size() <= index) {
-    v.resize(index + 1);
+T& grow_and_get(std::vector<T>& elements, std::size_t index) {
+  if (elements.size() <= index) {
+    elements.resize(index + 1);
   }
-  return v[index];
+  return elements[index];
 }
 
 }  // namespace
 
-// NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): too long
+// NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): one table
 Settings read_settings(std::string_view rest) {
-  Settings s;
-  Pair p;
+  Settings settings;
+  Pair pair;
   try {
-    while (next_pair(rest, p)) {
-      const std::string_view n = p.name;
-      if (n == "rngSeed") {
-        s.seed = static_cast<std::uint64_t>(number<std::int64_t>(p));
-      } else if (n == "groupSize") {
-        s.gateway_count = number<std::uint32_t>(p);
-      } else if (n == "ceilings.parallelTries") {
-        s.allow_hedging = boolean(p);
-      } else if (n == "weights") {
-        s.dynamic_weights = p.value == "live";
-      } else if (n == "myNumber") {
-        s.gateway_index = number<std::uint32_t>(p);
-      } else if (n == "zone") {
-        s.zone = p.value;
-      } else if (n == "overShareWorth") {
-        s.over_quota_weight = number<double>(p);
-      } else if (n == "registryMode") {
-        s.poll_discovery = p.value == "ask";
-      } else if (n == "stepNs") {
-        s.event_batch_interval = span(p);
-      } else if (n == "domain.warmKeys") {
-        s.key_affinity = boolean(p);
-      } else if (n == "ceilings.retryAfter") {
-        s.send_retry_after = boolean(p);
-      } else if (n == "ceilings.cancel") {
-        s.allow_cancellation = boolean(p);
-      } else if (n == "ceilings.maxAttempts") {
-        s.max_attempts = number<std::uint32_t>(p);
-      } else if (n == "ceilings.streamsPerConn") {
-        s.streams_per_connection = number<std::uint32_t>(p);
-      } else if (n == "ceilings.idleCloseNs") {
-        s.idle_connection_timeout = span(p);
-      } else if (n == "ceilings.maxRetryAfterNs") {
-        s.max_retry_after = span(p);
-      } else if (n == "rules.askWithinNs") {
-        s.max_poll_interval = span(p);
-      } else if (n == "rules.coldNs") {
-        s.warmup_duration = span(p);
-      } else if (n == "rules.coldShare") {
-        s.initial_warmup_fraction = number<double>(p);
-      } else if (n == "rules.fallMultiple") {
-        s.collapse_load_factor = number<double>(p);
-      } else if (n == "rules.fallNs") {
-        s.collapse_window = span(p);
-      } else if (n == "rules.keyRestNs") {
-        s.key_cooldown = span(p);
+    while (next_pair(rest, pair)) {
+      const std::string_view name = pair.name;
+      if (name == "rngSeed") {
+        settings.seed = static_cast<std::uint64_t>(to_number<std::int64_t>(pair));
+      } else if (name == "groupSize") {
+        settings.gateway_count = to_number<std::uint32_t>(pair);
+      } else if (name == "ceilings.parallelTries") {
+        settings.allow_hedging = to_boolean(pair);
+      } else if (name == "weights") {
+        settings.dynamic_weights = pair.value == "live";
+      } else if (name == "myNumber") {
+        settings.gateway_index = to_number<std::uint32_t>(pair);
+      } else if (name == "zone") {
+        settings.zone = pair.value;
+      } else if (name == "overShareWorth") {
+        settings.over_quota_weight = to_number<double>(pair);
+      } else if (name == "registryMode") {
+        settings.poll_discovery = pair.value == "ask";
+      } else if (name == "stepNs") {
+        settings.event_batch_interval = to_duration(pair);
+      } else if (name == "domain.warmKeys") {
+        settings.key_affinity = to_boolean(pair);
+      } else if (name == "ceilings.retryAfter") {
+        settings.send_retry_after = to_boolean(pair);
+      } else if (name == "ceilings.cancel") {
+        settings.allow_cancellation = to_boolean(pair);
+      } else if (name == "ceilings.maxAttempts") {
+        settings.max_attempts = to_number<std::uint32_t>(pair);
+      } else if (name == "ceilings.streamsPerConn") {
+        settings.streams_per_connection = to_number<std::uint32_t>(pair);
+      } else if (name == "ceilings.idleCloseNs") {
+        settings.idle_connection_timeout = to_duration(pair);
+      } else if (name == "ceilings.maxRetryAfterNs") {
+        settings.max_retry_after = to_duration(pair);
+      } else if (name == "rules.askWithinNs") {
+        settings.max_poll_interval = to_duration(pair);
+      } else if (name == "rules.coldNs") {
+        settings.warmup_duration = to_duration(pair);
+      } else if (name == "rules.coldShare") {
+        settings.initial_warmup_fraction = to_number<double>(pair);
+      } else if (name == "rules.fallMultiple") {
+        settings.collapse_load_factor = to_number<double>(pair);
+      } else if (name == "rules.fallNs") {
+        settings.collapse_window = to_duration(pair);
+      } else if (name == "rules.keyRestNs") {
+        settings.key_cooldown = to_duration(pair);
       } else {
-        indexed(n, "grades", [&](std::size_t i, std::string_view field) {
-          ClassSettings& c = at(s.classes, i);
+        visit_indexed_field(name, "grades", [&](std::size_t index, std::string_view field) {
+          ClassSettings& class_settings = grow_and_get(settings.classes, index);
           if (field == "name") {
-            c.name = p.value;
+            class_settings.name = pair.value;
           } else if (field == "aimNs") {
-            c.latency_objective = span(p);
+            class_settings.latency_objective = to_duration(pair);
           } else if (field == "giveUpNs") {
-            c.client_timeout = span(p);
+            class_settings.client_timeout = to_duration(pair);
           } else if (field == "windowNs") {
-            c.deduplication_window = span(p);
+            class_settings.deduplication_window = to_duration(pair);
           } else if (field == "points") {
-            c.priority_weight = number<double>(p);
+            class_settings.priority_weight = to_number<double>(pair);
           } else if (field == "lateShare") {
-            c.late_value_fraction = number<double>(p);
+            class_settings.late_value_fraction = to_number<double>(pair);
           } else if (field == "aimStretch") {
-            c.latency_objective_per_cost = number<double>(p);
+            class_settings.latency_objective_per_cost = to_number<double>(pair);
           } else if (field == "inTurn") {
-            c.serialize_by_key = boolean(p);
+            class_settings.serialize_by_key = to_boolean(pair);
           } else if (field == "staysIn") {
-            c.zones = names(p.value);
+            class_settings.zones = split_list(pair.value);
           } else if (field == "boundTo") {
-            c.machine_types = names(p.value);
+            class_settings.machine_types = split_list(pair.value);
           } else if (field == "effect") {
-            c.idempotency = p.value == "retryable" ? Idempotency::idempotent
-                            : p.value == "dedup"   ? Idempotency::deduplicated
-                                                   : Idempotency::non_idempotent;
+            class_settings.idempotency = pair.value == "retryable" ? Idempotency::idempotent
+                                         : pair.value == "dedup"   ? Idempotency::deduplicated
+                                                                   : Idempotency::non_idempotent;
           } else if (field == "group") {
-            c.deduplication_scope = p.value == "all"    ? DeduplicationScope::global
-                                    : p.value == "zone" ? DeduplicationScope::zone
-                                                        : DeduplicationScope::cell;
+            class_settings.deduplication_scope = pair.value == "all"    ? DeduplicationScope::global
+                                                 : pair.value == "zone" ? DeduplicationScope::zone
+                                                                        : DeduplicationScope::cell;
           }
         });
-        indexed(n, "tenants", [&](std::size_t i, std::string_view field) {
-          TenantSettings& t = at(s.tenants, i);
+        visit_indexed_field(name, "tenants", [&](std::size_t index, std::string_view field) {
+          TenantSettings& tenant = grow_and_get(settings.tenants, index);
           if (field == "name") {
-            t.name = p.value;
+            tenant.name = pair.value;
           } else if (field == "quotaRps") {
-            t.quota_per_second = number<double>(p);
+            tenant.quota_per_second = to_number<double>(pair);
           }
         });
       }
     }
-  } catch (const BadLine& bad) {
-    throw std::invalid_argument(bad.what());
+  } catch (const MalformedLine& error) {
+    throw std::invalid_argument(error.what());
   }
-  for (ClassSettings& c : s.classes) {
-    c.client_timeout = std::max(c.client_timeout, c.latency_objective);
+  // The wire may name a client timeout below the latency objective, which validate() would reject.
+  for (ClassSettings& class_settings : settings.classes) {
+    class_settings.client_timeout =
+        std::max(class_settings.client_timeout, class_settings.latency_objective);
   }
-  return s;
+  return settings;
 }
 
+// A simulated gateway: its Balancer, and the map between the request ids of the wire (the text
+// after "ref=") and those of the Balancer. A RequestId is the slot of the request and, above 32
+// bits, the generation of the slot, so that ids are never reused.
 struct Adapter::Gateway {
-  struct Ref {
-    std::string id;
+  struct RequestSlot {
+    std::string ref;  // empty: the slot is free
     std::uint32_t generation = 0;
-    std::uint32_t out = 0;
-    bool ended = false;
+    std::uint32_t attempts_in_flight = 0;
+    bool ended = false;  // the client needs no further response
   };
 
   std::string name;
   Balancer balancer;
-  std::unordered_map<std::string, std::uint32_t, TextHash, std::equal_to<>> slot_of;
-  std::vector<Ref> refs;
-  std::vector<std::uint32_t> free_refs;
-  std::unordered_map<std::string, std::uint32_t, TextHash, std::equal_to<>> class_of, tenant_of;
-  std::vector<std::string> report_fields;
-  std::string reply;
-  bool touched = false;
+  std::unordered_map<std::string, std::uint32_t, TextHash, std::equal_to<>> slot_by_ref;
+  std::vector<RequestSlot> requests;
+  std::vector<std::uint32_t> free_slots;
+  std::unordered_map<std::string, std::uint32_t, TextHash, std::equal_to<>> class_by_name;
+  std::unordered_map<std::string, std::uint32_t, TextHash, std::equal_to<>> tenant_by_name;
+  std::vector<std::string> report_fields;  // names of the values in "metrics", in their order
+  std::string reply;                       // lines for the present batch
+  bool has_event = false;                  // in the present batch
 
-  Gateway(std::string_view n, const Settings& s, Time now) : name(n), balancer(s, now) {
-    for (std::size_t i = 0; i < s.classes.size(); ++i) {
-      class_of.emplace(s.classes[i].name, static_cast<std::uint32_t>(i));
+  Gateway(std::string_view gateway_name, const Settings& settings, Time now)
+      : name(gateway_name), balancer(settings, now) {
+    for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+      class_by_name.emplace(settings.classes[i].name, static_cast<std::uint32_t>(i));
     }
-    for (std::size_t i = 0; i < s.tenants.size(); ++i) {
-      tenant_of.emplace(s.tenants[i].name, static_cast<std::uint32_t>(i));
+    for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
+      tenant_by_name.emplace(settings.tenants[i].name, static_cast<std::uint32_t>(i));
     }
   }
 
-  LoadReport report(std::string_view row) const {  // its values, in the order of the fields
-    LoadReport out;
+  // Reads the comma-separated values of "metrics"; an empty one is not reported.
+  LoadReport to_load_report(std::string_view values) const {
+    LoadReport report;
     for (const std::string& field : report_fields) {
-      if (row.empty()) {
+      if (values.empty()) {
         break;
       }
-      const std::size_t end = std::min(row.find(','), row.size());
-      const std::string_view text = row.substr(0, end);
-      row.remove_prefix(std::min(end + 1, row.size()));
+      const std::size_t end = std::min(values.find(','), values.size());
+      const std::string_view text = values.substr(0, end);
+      values.remove_prefix(std::min(end + 1, values.size()));
       if (text.empty()) {
-        continue;  // not told
+        continue;
       }
-      const auto value = number<double>({field, text});
+      const auto value = to_number<double>({field, text});
       if (!(value >= 0 && value <= 1e6)) {
-        throw BadLine("metrics: '" + std::string(text) + "' should be a number from 0 to 1e6");
+        throw MalformedLine("metrics: '" + std::string(text) +
+                            "' is out of range; expected 0 to 1e6");
       }
       if (field == "utilization") {
-        out.utilization = std::min(value, 1.0);
+        report.utilization = std::min(value, 1.0);
       }
       if (field == "recent_ms") {
-        out.recent_service_time = Duration(static_cast<Duration::rep>(value * 1e6));
+        report.recent_service_time = Duration(static_cast<Duration::rep>(value * 1e6));
       }
     }
-    return out;
+    return report;
   }
   RequestId id_of(std::uint32_t slot) const {
-    return (static_cast<RequestId>(refs[slot].generation) << 32) | slot;
+    return (static_cast<RequestId>(requests[slot].generation) << 32) | slot;
   }
-  RequestId take(std::string_view id) {
+  // Adds a request under a ref that is not in use.
+  RequestId add_request(std::string_view ref) {
     std::uint32_t slot;
-    if (free_refs.empty()) {
-      slot = static_cast<std::uint32_t>(refs.size());
-      refs.emplace_back();
+    if (free_slots.empty()) {
+      slot = static_cast<std::uint32_t>(requests.size());
+      requests.emplace_back();
     } else {
-      slot = free_refs.back();
-      free_refs.pop_back();
-    }
-    Ref& r = refs[slot];
-    r.id.assign(id);
-    ++r.generation;
-    r.out = 0;
-    r.ended = false;
-    slot_of.emplace(r.id, slot);
+      slot = free_slots.back();
+      free_slots.pop_back();
+    }
+    RequestSlot& request = requests[slot];
+    request.ref.assign(ref);
+    ++request.generation;
+    request.attempts_in_flight = 0;
+    request.ended = false;
+    slot_by_ref.emplace(request.ref, slot);
     return id_of(slot);
   }
-  Ref* find(std::string_view id, std::uint32_t& slot) {
-    const auto it = slot_of.find(id);
-    if (it == slot_of.end()) {
+  // Null if no request has that ref; else sets `slot`.
+  RequestSlot* find_request(std::string_view ref, std::uint32_t& slot) {
+    const auto position = slot_by_ref.find(ref);
+    if (position == slot_by_ref.end()) {
       return nullptr;
     }
-    slot = it->second;
-    return &refs[slot];
+    slot = position->second;
+    return &requests[slot];
   }
-  void drop_if_over(std::uint32_t slot) {
-    Ref& r = refs[slot];
-    if (!r.ended || r.out > 0) {
+  // Frees the slot if the request has ended and no attempt is in flight.
+  void remove_if_over(std::uint32_t slot) {
+    RequestSlot& request = requests[slot];
+    if (!request.ended || request.attempts_in_flight > 0) {
       return;
     }
-    slot_of.erase(r.id);
-    r.id.clear();
-    free_refs.push_back(slot);
+    slot_by_ref.erase(request.ref);
+    request.ref.clear();
+    free_slots.push_back(slot);
   }
 };
 
-Adapter::Adapter(std::ostream& complaints) : complaints_(complaints) {}
+Adapter::Adapter(std::ostream& errors) : errors_(errors) {}
 Adapter::~Adapter() = default;
 
-void Adapter::complain(std::string_view line, std::string_view cause) {
-  complaints_ << "line " << line_number_ << ": " << cause << ": " << line.substr(0, 120) << '\n';
+void Adapter::report_error(std::string_view line, std::string_view cause) {
+  errors_ << "line " << line_number_ << ": " << cause << ": " << line.substr(0, 120) << '\n';
 }
 
-// NOLINTNEXTLINE(readability-function-size): too long
+// NOLINTNEXTLINE(readability-function-size): one branch for each kind of line
 bool Adapter::feed(std::string_view line, std::string& reply) {
   ++line_number_;
   if (!line.empty() && line.back() == '\r') {
@@ -345,413 +367,414 @@
     return false;
   }
   std::string_view rest = line;
-  const std::string_view name = next_part(rest);
+  const std::string_view name = next_token(rest);
   try {
-    if (rows_due_ > 0 && name != "ROW") {
-      rows_due_ = 0;
-      complain(line, "rows missing from the list before this line");
+    if (missing_rows_ > 0 && name != "ROW") {
+      missing_rows_ = 0;
+      report_error(line, "the list before this line is incomplete: ROW lines are missing");
     }
     if (name == "FRAME") {
       if (inside_batch_) {
-        complain(line, "a batch begins inside another");
+        report_error(line, "FRAME inside a batch");
       }
       inside_batch_ = true;
-      Pair p;
-      bool timed = false;
-      while (next_pair(rest, p)) {
-        if (p.name == "tNs") {
-          clock_ = std::max(clock_, number<std::int64_t>(p));
-          timed = true;
+      Pair pair;
+      bool has_time = false;
+      while (next_pair(rest, pair)) {
+        if (pair.name == "tNs") {
+          now_ns_ = std::max(now_ns_, to_number<std::int64_t>(pair));
+          has_time = true;
         }
       }
-      if (!timed) {
-        throw BadLine("no tNs");
+      if (!has_time) {
+        throw MalformedLine("tNs is missing");
       }
       return false;
     }
     if (name == "EOF_BATCH") {
       if (!inside_batch_) {
-        complain(line, "a batch ends that never began");
+        report_error(line, "EOF_BATCH outside a batch");
       }
       inside_batch_ = false;
-      for (Gateway* g : touched_) {
-        reply += g->reply;
-        g->reply.clear();
-        g->touched = false;
+      for (Gateway* gateway : batch_gateways_) {
+        reply += gateway->reply;
+        gateway->reply.clear();
+        gateway->has_event = false;
       }
-      touched_.clear();
+      batch_gateways_.clear();
       reply += "OK\n";
       return true;
     }
     if (!inside_batch_) {
-      throw BadLine("outside a batch");
+      throw MalformedLine("event outside a batch");
     }
-    event(name, rest);
-  } catch (const BadLine& bad) {
-    complain(line, bad.what());
+    handle_event(name, rest);
+  } catch (const MalformedLine& error) {
+    report_error(line, error.what());
   }
   return false;
 }
 
 Adapter::Gateway& Adapter::gateway_of(std::string_view rest) {
   while (!rest.empty()) {
-    const std::string_view part = next_part(rest);
-    if (part.substr(0, 2) != "i=") {
+    const std::string_view token = next_token(rest);
+    if (token.substr(0, 2) != "i=") {
       continue;
     }
-    const auto it = gateways_.find(part.substr(2));
-    if (it == gateways_.end()) {
-      throw BadLine("unknown instance");
+    const auto position = gateways_.find(token.substr(2));
+    if (position == gateways_.end()) {
+      throw MalformedLine("i: unknown gateway");
     }
-    Gateway& g = *it->second;
-    if (!g.touched) {
-      g.touched = true;
-      touched_.push_back(&g);
+    Gateway& gateway = *position->second;
+    if (!gateway.has_event) {
+      gateway.has_event = true;
+      batch_gateways_.push_back(&gateway);
     }
-    return g;
+    return gateway;
   }
-  throw BadLine("no instance");
+  throw MalformedLine("i is missing");
 }
 
-// NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): too long
-void Adapter::event(std::string_view name, std::string_view rest) {
+// NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): dispatch
+void Adapter::handle_event(std::string_view name, std::string_view rest) {
   if (name == "REQ") {
-    return request(gateway_of(rest), rest);
+    return on_request(gateway_of(rest), rest);
   }
   if (name == "SETTLED") {
-    return settled(gateway_of(rest), rest);
+    return on_settled(gateway_of(rest), rest);
   }
   if (name == "ROW") {
-    return row(rest);
+    return on_row(rest);
   }
   if (name == "LEDGER") {
-    return ledger(rest);
+    return on_ledger(rest);
   }
   if (name == "ENLIST") {
-    return enlist(rest);
+    return on_enlist(rest);
   }
   if (name == "MEMBERSHIP") {
-    return membership(gateway_of(rest), rest);
+    return on_membership(gateway_of(rest), rest);
   }
-  Pair p;
+  Pair pair;
   if (name == "RETIRE") {
-    Gateway& g = gateway_of(rest);  // whatever it still wanted dies with it, unsent actions too
-    touched_.erase(std::find(touched_.begin(), touched_.end(), &g));
-    gateways_.erase(gateways_.find(g.name));
+    Gateway& gateway = gateway_of(rest);  // its requests and unsent actions are dropped
+    batch_gateways_.erase(std::find(batch_gateways_.begin(), batch_gateways_.end(), &gateway));
+    gateways_.erase(gateways_.find(gateway.name));
     return;
   }
   if (name == "TIMEOUT_FIRED") {
-    Gateway& g = gateway_of(rest);
-    g.balancer.on_wakeup(Time(clock_));
-    return print(g);
+    Gateway& gateway = gateway_of(rest);
+    gateway.balancer.on_wakeup(Time(now_ns_));
+    return print_actions(gateway);
   }
   if (name == "LEFT" || name == "HEAD_RECEIVED") {
-    Gateway& g = gateway_of(rest);
-    std::string_view id;
+    Gateway& gateway = gateway_of(rest);
+    std::string_view ref;
     std::uint32_t attempt = 0;
     std::uint32_t slot = 0;
-    while (next_pair(rest, p)) {
-      if (p.name == "ref") {
-        id = p.value;
-      } else if (p.name == "go") {
-        attempt = number<std::uint32_t>(p);
+    while (next_pair(rest, pair)) {
+      if (pair.name == "ref") {
+        ref = pair.value;
+      } else if (pair.name == "go") {
+        attempt = to_number<std::uint32_t>(pair);
       }
     }
-    if (id.empty()) {
-      throw BadLine("no ref");
+    if (ref.empty()) {
+      throw MalformedLine("ref is missing");
     }
-    Gateway::Ref* ref = g.find(id, slot);
-    if (!ref) {
-      return;  // it may have been dropped already
+    Gateway::RequestSlot* request = gateway.find_request(ref, slot);
+    if (!request) {
+      return;  // the request is over already
     }
     if (name == "LEFT") {
-      g.balancer.on_client_disconnected(Time(clock_), g.id_of(slot));
-      ref->ended = true;
+      gateway.balancer.on_client_disconnected(Time(now_ns_), gateway.id_of(slot));
+      request->ended = true;
     } else {
-      g.balancer.on_response_started(Time(clock_), g.id_of(slot), attempt);
+      gateway.balancer.on_response_started(Time(now_ns_), gateway.id_of(slot), attempt);
     }
-    print(g);
-    if (name == "LEFT" && g.find(id, slot)) {
-      g.drop_if_over(slot);
+    print_actions(gateway);
+    if (name == "LEFT" && gateway.find_request(ref, slot)) {
+      gateway.remove_if_over(slot);
     }
     return;
   }
   if (name == "PROBED" || name == "FROM_PEER") {
-    gateway_of(rest);  // known, and of no use to the decisions
+    gateway_of(rest);  // checks the gateway; the Balancer does not use these events
     return;
   }
-  throw BadLine("unknown event");
+  throw MalformedLine("unknown event");
 }
 
-void Adapter::enlist(std::string_view rest) {
+// A gateway that is enlisted again has restarted: its requests and estimates are dropped.
+void Adapter::on_enlist(std::string_view rest) {
   std::string_view scan = rest;
   std::string_view name;
   std::string_view fields;
-  Pair p;
-  while (next_pair(scan, p)) {
-    if (p.name == "i") {
-      name = p.value;
-    } else if (p.name == "report.fields") {
-      fields = p.value;
+  Pair pair;
+  while (next_pair(scan, pair)) {
+    if (pair.name == "i") {
+      name = pair.value;
+    } else if (pair.name == "report.fields") {
+      fields = pair.value;
     }
   }
   if (name.empty()) {
-    throw BadLine("no instance");
+    throw MalformedLine("i is missing");
   }
   const auto old = gateways_.find(name);
   if (old != gateways_.end()) {
-    touched_.erase(std::remove(touched_.begin(), touched_.end(), old->second.get()),
-                   touched_.end());
+    batch_gateways_.erase(
+        std::remove(batch_gateways_.begin(), batch_gateways_.end(), old->second.get()),
+        batch_gateways_.end());
     gateways_.erase(old);
   }
   try {
-    auto gateway = std::make_unique<Gateway>(name, read_settings(rest), Time(clock_));
-    gateway->report_fields = names(fields);
+    auto gateway = std::make_unique<Gateway>(name, read_settings(rest), Time(now_ns_));
+    gateway->report_fields = split_list(fields);
     gateways_.emplace(std::string(name), std::move(gateway));
-  } catch (const std::invalid_argument& bad) {
-    throw BadLine(bad.what());
+  } catch (const std::invalid_argument& error) {
+    throw MalformedLine(error.what());
   }
   gateway_of(rest);
 }
 
-void Adapter::ledger(std::string_view rest) {
-  Pair p;
+void Adapter::on_ledger(std::string_view rest) {
+  Pair pair;
   std::size_t index = lists_.size();
   std::size_t rows = 0;
-  while (next_pair(rest, p)) {
-    if (p.name == "buffer") {
-      index = number<std::size_t>(p);
-    } else if (p.name == "rowsIn") {
-      rows = number<std::size_t>(p);
+  while (next_pair(rest, pair)) {
+    if (pair.name == "buffer") {
+      index = to_number<std::size_t>(pair);
+    } else if (pair.name == "rowsIn") {
+      rows = to_number<std::size_t>(pair);
     }
   }
   if (index >= lists_.size()) {
-    throw BadLine("list number missing or out of range");
+    throw MalformedLine("buffer is missing or out of range; expected 0 to 15");
   }
-  rows_into_ = &lists_[index];
-  rows_into_->known = true;
-  rows_into_->entries.clear();
-  rows_due_ = rows;
+  current_list_ = &lists_[index];
+  current_list_->is_known = true;
+  current_list_->entries.clear();
+  missing_rows_ = rows;
 }
 
-void Adapter::row(std::string_view rest) {
-  if (rows_due_ == 0) {
-    throw BadLine("a row outside a list");
-  }
-  --rows_due_;
-  Endpoint e;
-  Pair p;
-  while (next_pair(rest, p)) {
-    if (p.name == "host") {
-      e.address = p.value;
-    } else if (p.name == "locality") {
-      e.zone = p.value;
-    } else if (p.name == "machine") {
-      e.machine_type = p.value;
-    } else if (p.name == "block") {
-      e.cell = number<std::int64_t>(p);
-    } else if (p.name == "capacityHint") {
-      e.weight = number<double>(p);
-    } else if (p.name == "upSinceNs") {
-      e.started_at = span(p);
-    } else if (p.name == "phase") {
-      if (p.value == "IN") {
-        e.state = EndpointState::active;
-      } else if (p.value == "LAME") {
-        e.state = EndpointState::draining;
-      } else if (p.value == "OUT") {
-        e.state = EndpointState::removed;
+void Adapter::on_row(std::string_view rest) {
+  if (missing_rows_ == 0) {
+    throw MalformedLine("ROW outside a list");
+  }
+  --missing_rows_;
+  Endpoint endpoint;
+  Pair pair;
+  while (next_pair(rest, pair)) {
+    if (pair.name == "host") {
+      endpoint.address = pair.value;
+    } else if (pair.name == "locality") {
+      endpoint.zone = pair.value;
+    } else if (pair.name == "machine") {
+      endpoint.machine_type = pair.value;
+    } else if (pair.name == "block") {
+      endpoint.cell = to_number<std::int64_t>(pair);
+    } else if (pair.name == "capacityHint") {
+      endpoint.weight = to_number<double>(pair);
+    } else if (pair.name == "upSinceNs") {
+      endpoint.started_at = to_duration(pair);
+    } else if (pair.name == "phase") {
+      if (pair.value == "IN") {
+        endpoint.state = EndpointState::active;
+      } else if (pair.value == "LAME") {
+        endpoint.state = EndpointState::draining;
+      } else if (pair.value == "OUT") {
+        endpoint.state = EndpointState::removed;
       } else {
-        throw BadLine("unknown phase");
+        throw MalformedLine("phase: expected IN, LAME or OUT");
       }
     }
   }
-  if (e.address.empty()) {
-    throw BadLine("no host");
+  if (endpoint.address.empty()) {
+    throw MalformedLine("host is missing");
   }
-  rows_into_->entries.push_back(std::move(e));
+  current_list_->entries.push_back(std::move(endpoint));
 }
 
-void Adapter::membership(Gateway& g, std::string_view rest) {
-  Pair p;
+void Adapter::on_membership(Gateway& gateway, std::string_view rest) {
+  Pair pair;
   std::size_t index = lists_.size();
   std::string_view kind;
-  while (next_pair(rest, p)) {
-    if (p.name == "kind") {
-      kind = p.value;
-    } else if (p.name == "buffer" && p.value != "-") {
-      index = number<std::size_t>(p);
+  while (next_pair(rest, pair)) {
+    if (pair.name == "kind") {
+      kind = pair.value;
+    } else if (pair.name == "buffer" && pair.value != "-") {
+      index = to_number<std::size_t>(pair);
     }
   }
-  static const std::vector<Endpoint> kNone;
+  static const std::vector<Endpoint> kNoEntries;
   if (kind == "unavailable") {
-    g.balancer.on_endpoint_update(Time(clock_), EndpointUpdateKind::unavailable, kNone);
-    return print(g);
+    gateway.balancer.on_endpoint_update(Time(now_ns_), EndpointUpdateKind::unavailable, kNoEntries);
+    return print_actions(gateway);
   }
-  EndpointUpdateKind what;
+  EndpointUpdateKind update_kind;
   if (kind == "update") {
-    what = EndpointUpdateKind::delta;
+    update_kind = EndpointUpdateKind::delta;
   } else if (kind == "replace") {
-    what = EndpointUpdateKind::snapshot;
+    update_kind = EndpointUpdateKind::snapshot;
   } else if (kind == "restored") {
-    what = EndpointUpdateKind::restored;
+    update_kind = EndpointUpdateKind::restored;
   } else {
-    throw BadLine("unknown kind of news");
+    throw MalformedLine("kind: expected unavailable, update, replace or restored");
   }
-  if (index >= lists_.size() || !lists_[index].known) {
-    throw BadLine("unknown list");
+  if (index >= lists_.size() || !lists_[index].is_known) {
+    throw MalformedLine("buffer: no LEDGER has set this list");
   }
-  g.balancer.on_endpoint_update(Time(clock_), what, lists_[index].entries);
-  print(g);
+  gateway.balancer.on_endpoint_update(Time(now_ns_), update_kind, lists_[index].entries);
+  print_actions(gateway);
 }
 
-// NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): too long
-void Adapter::request(Gateway& g, std::string_view rest) {
-  Request q;
-  std::string_view id;
+// NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): one table
+void Adapter::on_request(Gateway& gateway, std::string_view rest) {
+  Request request;
+  std::string_view ref;
   std::string_view scan = rest;
-  Pair p;
-  // The id first, so that a request that is otherwise bad can still be answered.
+  Pair pair;
+  // The ref is read first, so that a malformed request still gets a response.
   while (!scan.empty()) {
-    const std::string_view part = next_part(scan);
-    if (part.substr(0, 4) == "ref=") {
-      id = part.substr(4);
+    const std::string_view token = next_token(scan);
+    if (token.substr(0, 4) == "ref=") {
+      ref = token.substr(4);
       break;
     }
   }
-  if (id.empty()) {
-    throw BadLine("no ref");
+  if (ref.empty()) {
+    throw MalformedLine("ref is missing");
   }
   std::uint32_t slot = 0;
-  if (g.find(id, slot)) {
-    throw BadLine("an id that is still open");
+  if (gateway.find_request(ref, slot)) {
+    throw MalformedLine("ref: a request with this id is still active");
   }
   try {
-    bool timed = false;
-    bool classed = false;
-    while (next_pair(rest, p)) {
-      if (p.name == "leftNs") {
-        q.time_remaining = span(p);
-        timed = true;
-      } else if (p.name == "costNs") {
-        q.cost = span(p);
-      } else if (p.name == "tierClass") {
-        const auto it = g.class_of.find(p.value);
-        q.class_index = it == g.class_of.end() ? kNone : it->second;
-        classed = true;
-      } else if (p.name == "realm") {
-        const auto it = g.tenant_of.find(p.value);
-        q.tenant_index = it == g.tenant_of.end() ? kNone : it->second;
-      } else if (p.name == "routeKey") {
-        const auto [end, error] =
-            std::from_chars(p.value.data(), p.value.data() + p.value.size(), q.key, 16);
-        if (error != std::errc{} || end != p.value.data() + p.value.size()) {
-          throw BadLine("bad routeKey");
+    bool has_time = false;
+    bool has_class = false;
+    while (next_pair(rest, pair)) {
+      if (pair.name == "leftNs") {
+        request.time_remaining = to_duration(pair);
+        has_time = true;
+      } else if (pair.name == "costNs") {
+        request.cost = to_duration(pair);
+      } else if (pair.name == "tierClass") {
+        const auto position = gateway.class_by_name.find(pair.value);
+        request.class_index = position == gateway.class_by_name.end() ? kNone : position->second;
+        has_class = true;
+      } else if (pair.name == "realm") {
+        const auto position = gateway.tenant_by_name.find(pair.value);
+        request.tenant_index = position == gateway.tenant_by_name.end() ? kNone : position->second;
+      } else if (pair.name == "routeKey") {
+        const auto [end, error] = std::from_chars(
+            pair.value.data(), pair.value.data() + pair.value.size(), request.key, 16);
+        if (error != std::errc{} || end != pair.value.data() + pair.value.size()) {
+          throw MalformedLine("routeKey: expected a hexadecimal number of 64 bits");
         }
-        q.has_key = true;
-      } else if (p.name == "repeat") {
-        boolean(p);  // checked only: the time left tells more
+        request.has_key = true;
+      } else if (pair.name == "repeat") {
+        to_boolean(pair);  // only checked: time_remaining shows how late a repeated request is
       }
     }
-    if (!timed) {
-      throw BadLine("no leftNs");
+    if (!has_time) {
+      throw MalformedLine("leftNs is missing");
     }
-    if (!classed) {
-      throw BadLine("no tierClass");
+    if (!has_class) {
+      throw MalformedLine("tierClass is missing");
     }
-  } catch (const BadLine&) {
-    g.reply += "RESPOND_ERROR i=" + g.name + " ref=" + std::string(id) + "\n";
+  } catch (const MalformedLine&) {
+    gateway.reply += "RESPOND_ERROR i=" + gateway.name + " ref=" + std::string(ref) + "\n";
     throw;
   }
-  q.id = g.take(id);
-  g.balancer.on_request(Time(clock_), q);
-  print(g);
+  request.id = gateway.add_request(ref);
+  gateway.balancer.on_request(Time(now_ns_), request);
+  print_actions(gateway);
 }
 
-void Adapter::settled(Gateway& g, std::string_view rest) {
-  AttemptResult a;
-  std::string_view id;
+void Adapter::on_settled(Gateway& gateway, std::string_view rest) {
+  AttemptResult result;
+  std::string_view ref;
   std::string_view host;
   std::string_view metrics;
-  Pair p;
-  bool numbered = false;
-  bool coded = false;
-  while (next_pair(rest, p)) {
-    if (p.name == "ref") {
-      id = p.value;
-    } else if (p.name == "go") {
-      a.attempt = number<std::uint32_t>(p);
-      numbered = true;
-    } else if (p.name == "disposition") {
-      a.outcome = outcome_of(number<int>(p));
-      coded = true;
-    } else if (p.name == "timeTakenNs") {
-      a.elapsed = span(p);
-    } else if (p.name == "terminal") {
-      a.is_final = boolean(p);
-    } else if (p.name == "host") {
-      host = p.value;
-    } else if (p.name == "metrics") {
-      metrics = p.value;
-    }
-  }
-  if (id.empty() || !numbered || !coded) {
-    throw BadLine("ref, go or disposition missing");
+  Pair pair;
+  bool has_attempt = false;
+  bool has_outcome = false;
+  while (next_pair(rest, pair)) {
+    if (pair.name == "ref") {
+      ref = pair.value;
+    } else if (pair.name == "go") {
+      result.attempt = to_number<std::uint32_t>(pair);
+      has_attempt = true;
+    } else if (pair.name == "disposition") {
+      result.outcome = to_outcome(to_number<int>(pair));
+      has_outcome = true;
+    } else if (pair.name == "timeTakenNs") {
+      result.elapsed = to_duration(pair);
+    } else if (pair.name == "terminal") {
+      result.is_final = to_boolean(pair);
+    } else if (pair.name == "host") {
+      host = pair.value;
+    } else if (pair.name == "metrics") {
+      metrics = pair.value;
+    }
+  }
+  if (ref.empty() || !has_attempt || !has_outcome) {
+    throw MalformedLine("ref, go or disposition is missing");
   }
   std::uint32_t slot = 0;
-  Gateway::Ref* ref = g.find(id, slot);
-  if (!ref) {
+  Gateway::RequestSlot* request = gateway.find_request(ref, slot);
+  if (!request) {
     return;
   }
-  a.request = g.id_of(slot);
-  if (ref->out > 0) {
-    --ref->out;
-  }
-  if (a.is_final) {
-    ref->ended = true;
+  result.request = gateway.id_of(slot);
+  if (request->attempts_in_flight > 0) {
+    --request->attempts_in_flight;
   }
+  request->ended |= result.is_final;
   if (!metrics.empty()) {
-    g.balancer.on_load_report(Time(clock_), g.balancer.find_host(host), g.report(metrics));
+    gateway.balancer.on_load_report(Time(now_ns_), gateway.balancer.find_host(host),
+                                    gateway.to_load_report(metrics));
   }
-  g.balancer.on_attempt_result(Time(clock_), a);
-  print(g);
-  if (g.find(id, slot)) {
-    g.drop_if_over(slot);
+  gateway.balancer.on_attempt_result(Time(now_ns_), result);
+  print_actions(gateway);
+  if (gateway.find_request(ref, slot)) {
+    gateway.remove_if_over(slot);
   }
 }
 
-// Prints one line per action into the gateway's reply.
+// Appends a line for each action to the gateway's reply.
 class Adapter::ActionPrinter {
  public:
   explicit ActionPrinter(Gateway& gateway) : gateway_(gateway), reply_(gateway.reply) {}
 
   void operator()(const SendAttempt& send) {
-    ++reference(send.request).out;
+    ++request_of(send.request).attempts_in_flight;
     begin("FORWARD");
-    append_reference(send.request);
+    append_ref(send.request);
     reply_.append(" host=").append(gateway_.balancer.address(send.host)).append(" withinNs=");
-    append(reply_, send.timeout.count());
+    append_number(reply_, send.timeout.count());
     reply_ += '\n';
   }
   void operator()(const RejectRequest& rejection) {
     begin("TURN_AWAY");
-    append_reference(rejection.request);
+    append_ref(rejection.request);
     if (rejection.retry_after > Duration{}) {
       reply_.append(" notBeforeForNs=");
-      append(reply_, rejection.retry_after.count());
+      append_number(reply_, rejection.retry_after.count());
     }
     end_request(rejection.request);
   }
   void operator()(const FailRequest& failure) {
     begin("RESPOND_ERROR");
-    append_reference(failure.request);
+    append_ref(failure.request);
     end_request(failure.request);
   }
   void operator()(const CancelAttempt& cancellation) {
     begin("ABORT_ATTEMPT");
-    append_reference(cancellation.request);
+    append_ref(cancellation.request);
     reply_.append(" go=");
-    append(reply_, cancellation.attempt);
+    append_number(reply_, cancellation.attempt);
     reply_ += '\n';
   }
   void operator()(const CloseIdleConnections& close) {
@@ -763,7 +786,7 @@
   void operator()(const ScheduleWakeup& wakeup) {
     begin("WAKE_AT");
     reply_.append(" alarmTimeNs=");
-    append(reply_, wakeup.at.count());
+    append_number(reply_, wakeup.at.count());
     reply_.append(" ref=w\n");
   }
   void operator()(const PollEndpoints&) {
@@ -776,23 +799,24 @@
     reply_ += '\n';
   }
 
-  // Ids are dropped only after all actions that name them are printed.
-  void drop_ended() {
+  // Removes the requests that have ended. To be called after the last action, as later actions may
+  // name them.
+  void remove_ended() {
     for (const std::uint32_t slot : ended_slots_) {
-      if (!gateway_.refs[slot].id.empty()) {
-        gateway_.drop_if_over(slot);
+      if (!gateway_.requests[slot].ref.empty()) {
+        gateway_.remove_if_over(slot);
       }
     }
   }
 
  private:
   static std::uint32_t slot_of(RequestId id) { return static_cast<std::uint32_t>(id); }
-  Gateway::Ref& reference(RequestId id) { return gateway_.refs[slot_of(id)]; }
-  void begin(std::string_view event) { reply_.append(event).append(" i=").append(gateway_.name); }
-  void append_reference(RequestId id) { reply_.append(" ref=").append(reference(id).id); }
+  Gateway::RequestSlot& request_of(RequestId id) { return gateway_.requests[slot_of(id)]; }
+  void begin(std::string_view action) { reply_.append(action).append(" i=").append(gateway_.name); }
+  void append_ref(RequestId id) { reply_.append(" ref=").append(request_of(id).ref); }
   void end_request(RequestId id) {
     reply_ += '\n';
-    reference(id).ended = true;
+    request_of(id).ended = true;
     ended_slots_.push_back(slot_of(id));
   }
 
@@ -801,12 +825,12 @@
   std::vector<std::uint32_t> ended_slots_;
 };
 
-void Adapter::print(Gateway& gateway) {
+void Adapter::print_actions(Gateway& gateway) {
   ActionPrinter printer(gateway);
   for (const Action& action : gateway.balancer.actions()) {
     std::visit(printer, action);
   }
-  printer.drop_ended();
+  printer.remove_ended();
   gateway.balancer.actions().clear();
 }
 
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,6 @@
-// Runs the decision module behind the line protocol: batches on standard input, replies on standard
-// output.
+// Runs the decision library behind the simulator's line protocol: batches on standard input,
+// replies on standard output, errors on standard error. Exit code 1: the input ends within a batch,
+// or standard output is closed.
 #include <unistd.h>
 
 #include <cerrno>
@@ -11,17 +12,18 @@
 
 namespace {
 
+// Writes the whole text to standard output. False: it is closed.
 bool write_all(const std::string& text) {
-  std::size_t done = 0;
-  while (done < text.size()) {
-    const ssize_t n = write(STDOUT_FILENO, text.data() + done, text.size() - done);
-    if (n < 0 && errno == EINTR) {
+  std::size_t written = 0;
+  while (written < text.size()) {
+    const ssize_t count = write(STDOUT_FILENO, text.data() + written, text.size() - written);
+    if (count < 0 && errno == EINTR) {
       continue;
     }
-    if (n <= 0) {
+    if (count <= 0) {
       return false;
     }
-    done += static_cast<std::size_t>(n);
+    written += static_cast<std::size_t>(count);
   }
   return true;
 }
@@ -34,17 +36,19 @@
   std::string pending;
   std::string reply;
   for (;;) {
-    const ssize_t n = read(STDIN_FILENO, block.data(), block.size());
-    if (n < 0 && errno == EINTR) {
+    const ssize_t count = read(STDIN_FILENO, block.data(), block.size());
+    if (count < 0 && errno == EINTR) {
       continue;
     }
-    if (n <= 0) {
+    if (count <= 0) {
       break;
     }
-    pending.append(block.data(), static_cast<std::size_t>(n));
-    std::size_t from = 0;
-    for (std::size_t end; (end = pending.find('\n', from)) != std::string::npos; from = end + 1) {
-      if (!adapter.feed(std::string_view(pending).substr(from, end - from), reply)) {
+    pending.append(block.data(), static_cast<std::size_t>(count));
+    std::size_t line_start = 0;
+    for (std::size_t line_end; (line_end = pending.find('\n', line_start)) != std::string::npos;
+         line_start = line_end + 1) {
+      if (!adapter.feed(std::string_view(pending).substr(line_start, line_end - line_start),
+                        reply)) {
         continue;
       }
       if (!write_all(reply)) {
@@ -52,7 +56,7 @@
       }
       reply.clear();
     }
-    pending.erase(0, from);
+    pending.erase(0, line_start);
   }
   if (!pending.empty() || adapter.inside_batch()) {
     std::cerr << "line " << adapter.line_number() + 1 << ": input ended within a batch\n";
