--- a/src/load_balancer/balancer.cpp
+++ b/src/load_balancer/balancer.cpp
@@ -1,4 +1,4 @@
-// The public interface, passed on to the parts of the module. Nothing is decided here.
+// Balancer forwards every event to the component that handles it. No decision is made here.
 #include "load_balancer/components.hpp"
 #include "load_balancer/settings_validation.hpp"
 
@@ -6,19 +6,21 @@
 
 struct Balancer::Impl : BalancerComponents {
   using BalancerComponents::BalancerComponents;
-  Time armed{};
-  int logged_step = 0;
+  Time next_wakeup{};   // the last one that was requested
+  int logged_step = 0;  // shedding threshold of the last log line, in fifths of its range
 
-  void arm() {
-    const Time want =
+  // Requests a wakeup for the next sweep or timer, unless an earlier one is pending.
+  void schedule_wakeup() {
+    const Time wakeup_at =
         std::max(std::min(next_sweep, scheduler.next_timer()), context.now + Duration(1));
-    if (armed > context.now && armed <= want) {
+    if (next_wakeup > context.now && next_wakeup <= wakeup_at) {
       return;
     }
-    armed = want;
-    context.emit(ScheduleWakeup{want});
+    next_wakeup = wakeup_at;
+    context.emit(ScheduleWakeup{wakeup_at});
   }
 
+  // Calls `handler` at the time of the event, then the steps that are due after every event.
   template <class Handler>
   void event(Time at, Handler handler) {
     context.now = at;
@@ -26,10 +28,11 @@
     scheduler.dispatch_queued();
     discovery_poller.poll_if_due();
     log_threshold();
-    arm();
+    schedule_wakeup();
   }
 
-  void log_threshold() {  // once a fifth of its range is crossed
+  // Logs the shedding threshold when it has entered another fifth of its range.
+  void log_threshold() {
     const int step = static_cast<int>(admission.shedding_threshold() / 20);
     if (step == logged_step || !context.may_log()) {
       return;
--- a/src/load_balancer/class_state.cpp
+++ b/src/load_balancer/class_state.cpp
@@ -5,8 +5,8 @@
 namespace load_balancer {
 namespace {
 
-constexpr double kHistogramRetention = 0.98;  // per request: counts cover the last fifty
-// Buckets within a tenth of the fullest one count as equally full.
+constexpr double kHistogramRetention = 0.98;  // per request: the counts cover the last fifty
+// Buckets with at least this fraction of the highest count are equally full.
 constexpr double kEqualBuckets = 0.9;
 
 }  // namespace
--- a/src/load_balancer/class_state.hpp
+++ b/src/load_balancer/class_state.hpp
@@ -1,4 +1,4 @@
-// What is learned of one request class.
+// Settings and estimates of one request class.
 #pragma once
 
 #include <array>
@@ -11,22 +11,25 @@
 
 namespace load_balancer {
 
+// The estimates of a request class, from this gateway's requests.
 struct ClassState {
   ClassSettings settings;
-  double typical_latency = 0;  // seconds; 0 until the first response
+  double typical_latency = 0;  // seconds, at the mean cost; 0 until the first response
   double mean_cost = 0;        // seconds, of the cost hints
-  double failure_rate = 0;     // fraction of failed attempts over all hosts, 0 to 1
+  double failure_rate = 0;     // fraction of attempts that failed or were rejected, over all hosts
+  // Most frequent remaining time of a request until its client gives up: that of first requests.
   Duration usual_time_remaining{};
   std::size_t usual_bucket = 0;                       // of usual_time_remaining
-  std::array<double, 64> time_remaining_histogram{};  // decayed: over the last fifty requests
+  std::array<double, 64> time_remaining_histogram{};  // decayed counts of the last fifty requests
 
-  // Counts a request by its remaining time in bucket widths and returns its bucket. Of the buckets
-  // with the most requests, the one with the longest time becomes the usual one.
+  // Counts a request by its remaining time in bucket widths and returns its bucket. The usual
+  // bucket becomes that with the most requests; of about equally full ones, that with the longest
+  // time.
   std::size_t record_time_remaining(double bucket_position);
 };
 
-// Settings for requests of a class that is not configured, made from those of a configured class:
-// never retried after they may have run, and of the lowest priority.
+// Settings for requests of a class that is not configured, derived from those of a configured
+// class. Such requests have the lowest priority and no retry after an attempt that may have run.
 ClassSettings unknown_class_settings(ClassSettings base);
 
 // True if a placement rule allows `name`; without a rule every name is allowed.
--- a/src/load_balancer/key_queues.hpp
+++ b/src/load_balancer/key_queues.hpp
@@ -10,19 +10,25 @@
 
 namespace load_balancer {
 
+// The requests of one key.
 struct KeyQueue {
-  std::deque<std::uint32_t> slots;  // of the requests, in order of arrival; the first one may run
-  Time cooldown_until{};            // nothing is sent for the key before
+  std::deque<std::uint32_t>
+      slots;              // of ActiveRequests, in order of arrival; only the first may run
+  Time cooldown_until{};  // no attempt is sent for the key before
 };
 
+// The queues and cooldowns of all keys. It does not decide when a request is sent.
 class KeyQueues {
  public:
   // Appends a request and returns how many are ahead of it.
   std::size_t enqueue(std::uint64_t key, std::uint32_t slot);
+  // Removes a request, wherever it is in the queue.
   void remove(std::uint64_t key, std::uint32_t slot);
+  // Starts or replaces the cooldown of `key`.
   void set_cooldown(std::uint64_t key, Time until);
-  // The queue of `key`; null if no request is in it.
+  // The queue of `key`; null if no request is in it. Valid until the next call of another method.
   const KeyQueue* find_waiting(std::uint64_t key) const;
+  // Removes the queues without requests whose cooldown has passed.
   void forget_idle(Time now);
 
  private:
--- a/src/load_balancer/settings_validation.cpp
+++ b/src/load_balancer/settings_validation.cpp
@@ -14,10 +14,9 @@
 
 }  // namespace
 
-// The messages name the settings as configuration files do.
 void validate(const Settings& settings) {
   require(settings.gateway_count >= 1, "groupSize must be at least 1");
-  require(!settings.classes.empty(), "at least one class is needed");
+  require(!settings.classes.empty(), "grades must name at least one class");
   require(settings.max_attempts >= 1, "maxAttempts must be at least 1");
   require(settings.streams_per_connection >= 1, "streamsPerConnection must be at least 1");
   require(settings.initial_warmup_fraction > 0 && settings.initial_warmup_fraction <= 1,
@@ -29,14 +28,16 @@
        {settings.max_retry_after, settings.max_poll_interval, settings.event_batch_interval,
         settings.warmup_duration, settings.collapse_window, settings.key_cooldown,
         settings.idle_connection_timeout}) {
-    require(duration >= Duration::zero(), "durations must not be negative");
+    require(duration >= Duration::zero(),
+            "durations must not be negative: maxRetryAfterNs, askWithinNs, stepNs, coldNs, fallNs, "
+            "keyRestNs, idleCloseNs");
   }
   for (const ClassSettings& class_settings : settings.classes) {
-    require(!class_settings.name.empty(), "a class has no name");
+    require(!class_settings.name.empty(), "grades: the name of a class must not be empty");
     require(class_settings.latency_objective > Duration::zero(),
-            "class " + class_settings.name + ": aim must be above 0");
+            "class " + class_settings.name + ": aimNs must be above 0");
     require(class_settings.client_timeout >= class_settings.latency_objective,
-            "class " + class_settings.name + ": giveUp must not be below aim");
+            "class " + class_settings.name + ": giveUpNs must not be below aimNs");
     require(std::isfinite(class_settings.priority_weight) && class_settings.priority_weight >= 0,
             "class " + class_settings.name + ": worth must be 0 or more");
     require(class_settings.late_value_fraction >= 0 && class_settings.late_value_fraction <= 1,
@@ -44,11 +45,11 @@
     require(class_settings.latency_objective_per_cost >= 0,
             "class " + class_settings.name + ": aimStretch must be 0 or more");
     require(class_settings.deduplication_window >= Duration::zero(),
-            "class " + class_settings.name + ": window must not be negative");
+            "class " + class_settings.name + ": windowNs must not be negative");
   }
   for (const TenantSettings& tenant : settings.tenants) {
     require(std::isfinite(tenant.quota_per_second) && tenant.quota_per_second >= 0,
-            "tenant " + tenant.name + ": bad quota");
+            "tenant " + tenant.name + ": quotaRps must be 0 or more");
   }
 }
 
--- a/src/load_balancer/settings_validation.hpp
+++ b/src/load_balancer/settings_validation.hpp
@@ -1,10 +1,12 @@
-// Rejects settings that make no sense, before any decision is taken on them.
+// Checks that settings are within their ranges, before any decision depends on them.
 #pragma once
 
 #include "load_balancer/settings.hpp"
 
 namespace load_balancer {
 
-void validate(const Settings& settings);  // throws std::invalid_argument that names the setting
+// Throws std::invalid_argument for the first setting that is out of range. The message gives the
+// range and the setting's key in the configuration file ("worth" stands for the key "points").
+void validate(const Settings& settings);
 
 }  // namespace load_balancer
