--- a/src/load_balancer/connection_tracker.cpp
+++ b/src/load_balancer/connection_tracker.cpp
@@ -44,9 +44,9 @@
 // own subset had no idle host, hosts would reach their limit and refuse other gateways.
 void ConnectionTracker::sweep() {
   idle_loss_.decay(kLossDecay);
-  for (std::size_t i = fleet_.subset_size(); i < fleet_.subset_order().size(); ++i) {
-    const HostId id = fleet_.subset_order()[i];
-    Host& host = fleet_.at(id);
+  for (std::size_t i = hosts_.subset_size(); i < hosts_.subset_order().size(); ++i) {
+    const HostId id = hosts_.subset_order()[i];
+    Host& host = hosts_.at(id);
     if (host.desired_connections == 0 || host.in_flight > 0 ||
         context_.now - host.last_used_at < kUnusedHostTimeout) {
       continue;
--- a/src/load_balancer/connection_tracker.hpp
+++ b/src/load_balancer/connection_tracker.hpp
@@ -12,7 +12,7 @@
 // proxy, which owns the connections, does not report it. Closes them by CloseIdleConnections.
 class ConnectionTracker {
  public:
-  ConnectionTracker(Context& context, HostSet& fleet) : context_(context), fleet_(fleet) {}
+  ConnectionTracker(Context& context, HostSet& hosts) : context_(context), hosts_(hosts) {}
 
   // True if a connection with a free stream is open and not likely closed by others.
   bool has_open_connection(const Host& host) const {
@@ -27,7 +27,7 @@
   void on_attempt_sent(Host& host, HostId id, Attempt& attempt);
   // Updates the loss rate of the idle time of the attempt's connection.
   void on_attempt_result(const Attempt& attempt, AttemptOutcome outcome);
-  // Closes unused connections to hosts outside the subset. To be called every kSweep.
+  // Closes unused connections to hosts outside the subset. To be called every kSweepInterval.
   void sweep();
 
  private:
@@ -38,7 +38,7 @@
   bool likely_closed(std::size_t step) const;
 
   Context& context_;
-  HostSet& fleet_;
+  HostSet& hosts_;
   IdleLossEstimator<kSteps> idle_loss_;
 };
 
--- a/src/load_balancer/outlier_detector.cpp
+++ b/src/load_balancer/outlier_detector.cpp
@@ -73,10 +73,11 @@
       }
       const double sample = std::min(elapsed / (class_state.typical_latency * request.cost), 20.0);
       host.relative_latency += kLatencyGain * (sample - host.relative_latency);
-      MachineType& machine_type = fleet_.machine_type_of(host);
-      machine_type.relative_latency += kNormGain * (sample - machine_type.relative_latency);
+      MachineType& machine_type = hosts_.machine_type_of(host);
+      machine_type.relative_latency +=
+          kMovingAverageGain * (sample - machine_type.relative_latency);
       class_state.typical_latency +=
-          kNormGain * (latency_at_mean_cost - class_state.typical_latency);
+          kMovingAverageGain * (latency_at_mean_cost - class_state.typical_latency);
       admission_.on_success(request);
       if (context_.now <= request.objective_deadline) {
         on_response_timeliness(host, false);
@@ -155,7 +156,7 @@
     }
     host.health = HealthState::healthy;
     host.failure_rate = 0;
-    fleet_.recount();
+    hosts_.recount();
     if (context_.may_log()) {
       context_.log("host_returned host=" + host.endpoint.address);
     }
@@ -169,18 +170,18 @@
 // by the same weight: machine types that are rarely selected affect the shedding threshold least.
 // A late response counts as a utilization of 1, but only if hosts report their utilization at all.
 void OutlierDetector::on_response_timeliness(Host& host, bool late) {
-  MachineType& machine_type = fleet_.machine_type_of(host);
-  const double uncertainty = fleet_.is_large_fleet() ? admission_.uncertainty() : 0;
+  MachineType& machine_type = hosts_.machine_type_of(host);
+  const double uncertainty = hosts_.is_large_fleet() ? admission_.uncertainty() : 0;
   if (!late || admission_.utilization() > 0) {
     admission_.on_utilization_sample(late ? 1 : host.utilization, machine_type.selection_weight);
   }
   machine_type.selection_weight *= late ? 1 - kMachineTypeLateReduction * uncertainty
                                         : 1 + kMachineTypeInTimeGrowth * uncertainty;
   double max_weight = 0;
-  for (const MachineType& other_type : fleet_.machine_types()) {
+  for (const MachineType& other_type : hosts_.machine_types()) {
     max_weight = std::max(max_weight, other_type.selection_weight);
   }
-  for (MachineType& other_type : fleet_.machine_types()) {
+  for (MachineType& other_type : hosts_.machine_types()) {
     other_type.selection_weight =
         std::max(other_type.selection_weight / max_weight, kMinPenaltyFactor);
   }
@@ -215,14 +216,14 @@
   std::vector<double> relative_latencies;
   std::vector<double> failure_rates;
   std::size_t unavailable_hosts = 0;  // ejected or in probation
-  for (HostId id : fleet_.listed()) {
-    Host& host = fleet_.at(id);
+  for (HostId id : hosts_.listed()) {
+    Host& host = hosts_.at(id);
     // A high relative latency from a past fault keeps requests away from the host, and without
     // requests it would never be corrected. So it returns to the mean of the machine type.
     if (host.served <= 0 && host.in_flight == 0) {
       host.relative_latency +=
           kLatencyDecay * admission_.confidence() *
-          (fleet_.machine_type_of(host).relative_latency - host.relative_latency);
+          (hosts_.machine_type_of(host).relative_latency - host.relative_latency);
       if (host.utilization >= 0) {
         host.utilization += kLatencyDecay * (admission_.utilization() - host.utilization);
       }
@@ -262,11 +263,11 @@
   // If at least a quarter of the hosts has a low failure rate, those with a high one are outliers.
   const double peer_failure_rate = quantile(failure_rates, 0.25, 0);
   // Compared with the other hosts, so that a fault of all hosts ejects none.
-  for (HostId id : fleet_.listed()) {
-    Host& host = fleet_.at(id);
+  for (HostId id : hosts_.listed()) {
+    Host& host = hosts_.at(id);
     if (host.health != HealthState::healthy ||
         static_cast<double>(unavailable_hosts + 1) >
-            kMaxEjectedFraction * static_cast<double>(fleet_.listed().size())) {
+            kMaxEjectedFraction * static_cast<double>(hosts_.listed().size())) {
       continue;
     }
     if (host.failure_rate >
@@ -278,7 +279,7 @@
       host.ejection_count = 0;
     }
   }
-  fleet_.recount();
+  hosts_.recount();
 }
 
 }  // namespace load_balancer
--- a/src/load_balancer/outlier_detector.hpp
+++ b/src/load_balancer/outlier_detector.hpp
@@ -14,9 +14,9 @@
 // AdmissionController.
 class OutlierDetector {
  public:
-  OutlierDetector(Context& context, HostSet& fleet, AdmissionController& admission,
+  OutlierDetector(Context& context, HostSet& hosts, AdmissionController& admission,
                   const ActiveRequests& requests)
-      : context_(context), fleet_(fleet), admission_(admission), requests_(requests) {}
+      : context_(context), hosts_(hosts), admission_(admission), requests_(requests) {}
 
   // The result of an attempt at `host`. In probation it decides whether the host returns.
   void on_attempt_result(Host& host, const ActiveRequest& request, const AttemptResult& result);
@@ -25,7 +25,7 @@
     host.utilization = report.utilization >= 0 ? report.utilization : host.utilization;
   }
   // Updates unresponsiveness and the end of ejections, and ejects outliers. To be called every
-  // kSweep.
+  // kSweepInterval.
   void sweep();
   // A response arrived within the latency objective, or, if `late`, the objective passed without
   // one.
@@ -47,7 +47,7 @@
   void eject(Host& host, const char* reason);
 
   Context& context_;
-  HostSet& fleet_;
+  HostSet& hosts_;
   AdmissionController& admission_;
   const ActiveRequests& requests_;
   // An overloaded host stays slow for about this long.
--- a/src/load_balancer/request_scheduler.hpp
+++ b/src/load_balancer/request_scheduler.hpp
@@ -35,7 +35,7 @@
   void on_wakeup();
   // See Balancer::set_retry_allowance.
   void set_retry_allowance(std::uint64_t retries) { retry_allowance_ = retries; }
-  // Forgets keys without requests and cooldown. To be called every kSweep.
+  // Forgets keys without requests and cooldown. To be called every kSweepInterval.
   void sweep() { key_queues_.forget_idle(context.now); }
   // Sends the queued requests whose key has become free. To be called after every event.
   void dispatch_queued();
@@ -78,7 +78,7 @@
   // Counts an attempt as load of the host.
   void track_in_flight(const ActiveRequest& request, Host& host) {
     host.outstanding_attempts.push_back(requests_.reference(request));
-    fleet.add_in_flight(host, 1);
+    hosts.add_in_flight(host, 1);
   }
   // Ends the request without a response.
   void reject_or_fail(ActiveRequest& request);
--- a/src/load_balancer/slow_start.cpp
+++ b/src/load_balancer/slow_start.cpp
@@ -6,15 +6,14 @@
 namespace {
 
 // Target load of a warming host, as a fraction of the load at which it collapses. The first applies
-// if only load reports are known, the second if warm hosts of its machine type have confirmed a
-// rate.
+// if only load reports are known, the second if the peak success rate of its machine type is known.
 constexpr double kReportedCapacityFraction = 0.30;
-constexpr double kConfirmedCapacityFraction = 0.45;
+constexpr double kPeakRateCapacityFraction = 0.45;
 // Distance between the mean load and the collapse load, in standard deviations of the number of
 // requests in a collapse window.
 constexpr double kSafetySigmas = 4;
-// Per sweep: the confirmed rate of a machine type fades over half a minute.
-constexpr double kConfirmedRateDecay = 0.997;
+// Per sweep: the peak success rate of a machine type fades over half a minute.
+constexpr double kPeakRateDecay = 0.997;
 constexpr double kTokenLifetimeWindows = 0.5;  // collapse windows
 // Weight of the assumed capacity beside the load reports, in successes.
 constexpr double kReportPrior = 2;
@@ -40,7 +39,7 @@
 // request per window: a lower bound of one request, times hundreds of gateways, would overload the
 // host.
 bool SlowStart::try_admit(Host& host) {
-  if (!fleet_.is_warming_up(host)) {
+  if (!hosts_.is_warming_up(host)) {
     return true;
   }
   const double window_seconds = std::max(to_seconds(context_.settings.collapse_window), 0.1);
@@ -58,17 +57,17 @@
 
 // Requests per second that this gateway may send to the host, if all other gateways do the same.
 double SlowStart::safe_rate(const Host& host, double window_seconds) const {
-  const MachineType& machine_type = fleet_.machine_type_of(host);
-  // The rate that warm hosts of its machine type have served; the capacity by load reports applies
-  // only if there is none. Reports of overloaded hosts give too low a capacity: by them less would
-  // be sent to the warming hosts, and requests would be shed for longer.
-  const bool is_confirmed = machine_type.confirmed_rate > 0;
+  const MachineType& machine_type = hosts_.machine_type_of(host);
+  // The peak rate that warm hosts of its machine type have served applies; the capacity by load
+  // reports only if there is none. Reports of overloaded hosts give too low a capacity: by them
+  // less would be sent to the warming hosts, and requests would be shed for longer.
+  const bool has_peak_rate = machine_type.peak_success_rate > 0;
   const double capacity_fraction =
-      is_confirmed ? kConfirmedCapacityFraction * (2 + admission_.confidence()) / 3
-                   : kReportedCapacityFraction;
+      has_peak_rate ? kPeakRateCapacityFraction * (2 + admission_.confidence()) / 3
+                    : kReportedCapacityFraction;
   const double collapse_rate =
-      (is_confirmed ? machine_type.confirmed_rate : machine_type.capacity) *
-      fleet_.warmup_fraction(host) * context_.settings.collapse_load_factor;
+      (has_peak_rate ? machine_type.peak_success_rate : machine_type.capacity) *
+      hosts_.warmup_fraction(host) * context_.settings.collapse_load_factor;
   // If the limit is a few requests per window, random bursts alone make a host collapse: with a
   // mean of m requests the standard deviation is sqrt(m). This is the largest mean for which
   // m + kSafetySigmas * sqrt(m) stays within the limit.
@@ -85,10 +84,10 @@
 // time are this gateway's part of the capacity. Both are summed over the machine type, which bounds
 // the effect of a host that reports wrong values.
 void SlowStart::on_load_report(Host& host, const LoadReport& report) {
-  MachineType& machine_type = fleet_.machine_type_of(host);
+  MachineType& machine_type = hosts_.machine_type_of(host);
   if (report.recent_service_time > Duration{}) {
     const double service_time =
-        to_seconds(report.recent_service_time) * fleet_.warmup_fraction(host);
+        to_seconds(report.recent_service_time) * hosts_.warmup_fraction(host);
     machine_type.service_time += (machine_type.service_time > 0 ? kServiceTimeGain : 1) *
                                  (service_time - machine_type.service_time);
     mean_service_time_ +=
@@ -100,43 +99,43 @@
   const Duration gap =
       std::min(context_.now - std::exchange(host.reported_at, context_.now), kMaxReportGap);
   machine_type.reported_busy_seconds += std::max(report.utilization, kMinReportedUtilization) *
-                                        fleet_.warmup_fraction(host) * to_seconds(gap);
+                                        hosts_.warmup_fraction(host) * to_seconds(gap);
 }
 
-// Updates for each machine type the rate that a warm host has served and its estimated capacity.
+// Updates for each machine type the peak success rate and the estimated capacity of a warm host.
 // When nearly all hosts restart, the last warm ones are overloaded and their rates fall. If the
-// confirmed rate followed at once, the warming hosts would get too few requests to relieve them;
-// hence its slow decay.
+// peak rate followed at once, the warming hosts would get too few requests to relieve them; hence
+// its slow decay.
 void SlowStart::sweep() {
-  for (MachineType& machine_type : fleet_.machine_types()) {
+  for (MachineType& machine_type : hosts_.machine_types()) {
     machine_type.served = machine_type.warm_hosts = 0;
   }
-  for (std::size_t i = 0; i < fleet_.subset_order().size(); ++i) {
-    Host& host = fleet_.at(fleet_.subset_order()[i]);
-    if (i < fleet_.subset_size() && !fleet_.is_warming_up(host) &&
+  for (std::size_t i = 0; i < hosts_.subset_order().size(); ++i) {
+    Host& host = hosts_.at(hosts_.subset_order()[i]);
+    if (i < hosts_.subset_size() && !hosts_.is_warming_up(host) &&
         !is_unhealthy(host)) {  // the others get too few requests to show what they can serve
-      fleet_.machine_type_of(host).served += host.served;
-      fleet_.machine_type_of(host).warm_hosts += 1;
+      hosts_.machine_type_of(host).served += host.served;
+      hosts_.machine_type_of(host).warm_hosts += 1;
     }
     host.served = 0;
   }
   const double uniform_rate = std::max(
-      admission_.arrival_rate() / std::max(static_cast<double>(fleet_.subset_size()), 1.0), 1e-6);
+      admission_.arrival_rate() / std::max(static_cast<double>(hosts_.subset_size()), 1.0), 1e-6);
   double successes = kReportPrior;
   double busy_seconds = kReportPrior / uniform_rate;
-  for (const MachineType& machine_type : fleet_.machine_types()) {
+  for (const MachineType& machine_type : hosts_.machine_types()) {
     successes += machine_type.reported_successes,
         busy_seconds += machine_type.reported_busy_seconds;
   }
-  for (MachineType& machine_type : fleet_.machine_types()) {
+  for (MachineType& machine_type : hosts_.machine_types()) {
     if (machine_type.warm_hosts > 0) {
       machine_type.success_rate +=
           admission_.fast_gain() *
-          (machine_type.served / machine_type.warm_hosts / to_seconds(kSweep) -
+          (machine_type.served / machine_type.warm_hosts / to_seconds(kSweepInterval) -
            machine_type.success_rate);
     }
-    machine_type.confirmed_rate =
-        std::max(machine_type.success_rate, machine_type.confirmed_rate * kConfirmedRateDecay);
+    machine_type.peak_success_rate =
+        std::max(machine_type.success_rate, machine_type.peak_success_rate * kPeakRateDecay);
     const double relative_speed =
         machine_type.service_time > 0
             ? std::clamp(mean_service_time_ / machine_type.service_time, 0.3, 3.0)
