--- a/src/load_balancer/balancer.cpp
+++ b/src/load_balancer/balancer.cpp
@@ -22,7 +22,7 @@
 
   // Calls `handler` at the time of the event, then the steps that are due after every event.
   template <class Handler>
-  void event(Time at, Handler handler) {
+  void handle_event(Time at, Handler handler) {
     context.now = at;
     handler();
     scheduler.dispatch_queued();
@@ -54,7 +54,7 @@
 
 void Balancer::on_endpoint_update(Time now, EndpointUpdateKind kind,
                                   const std::vector<Endpoint>& entries) {
-  impl_->event(now, [&] {
+  impl_->handle_event(now, [&] {
     impl_->discovery_poller.on_endpoint_update(kind);
     if (kind != EndpointUpdateKind::unavailable) {
       impl_->hosts.on_endpoint_update(kind, entries);
@@ -62,19 +62,19 @@
   });
 }
 void Balancer::on_request(Time now, const Request& request) {
-  impl_->event(now, [&] { impl_->scheduler.on_request(request); });
+  impl_->handle_event(now, [&] { impl_->scheduler.on_request(request); });
 }
 void Balancer::on_request_complete(Time now, RequestId request) {
-  impl_->event(now, [&] { impl_->scheduler.on_request_complete(request); });
+  impl_->handle_event(now, [&] { impl_->scheduler.on_request_complete(request); });
 }
 void Balancer::on_response_started(Time now, RequestId request, std::uint32_t attempt) {
-  impl_->event(now, [&] { impl_->scheduler.on_response_started(request, attempt); });
+  impl_->handle_event(now, [&] { impl_->scheduler.on_response_started(request, attempt); });
 }
 void Balancer::on_attempt_result(Time now, const AttemptResult& result) {
-  impl_->event(now, [&] { impl_->scheduler.on_attempt_result(result); });
+  impl_->handle_event(now, [&] { impl_->scheduler.on_attempt_result(result); });
 }
 void Balancer::on_load_report(Time now, HostId host, const LoadReport& report) {
-  impl_->event(now, [&] {
+  impl_->handle_event(now, [&] {
     if (host >= impl_->hosts.size()) {
       return;
     }
@@ -83,19 +83,19 @@
   });
 }
 void Balancer::on_client_disconnected(Time now, RequestId request) {
-  impl_->event(now, [&] { impl_->scheduler.on_client_disconnected(request); });
+  impl_->handle_event(now, [&] { impl_->scheduler.on_client_disconnected(request); });
 }
 void Balancer::set_maintenance(Time now, const std::string& address, bool in_maintenance) {
-  impl_->event(now, [&] { impl_->hosts.set_maintenance(address, in_maintenance); });
+  impl_->handle_event(now, [&] { impl_->hosts.set_maintenance(address, in_maintenance); });
 }
 void Balancer::set_budget_fraction(Time now, double fraction) {
-  impl_->event(now, [&] { impl_->slow_start.set_budget_fraction(fraction); });
+  impl_->handle_event(now, [&] { impl_->slow_start.set_budget_fraction(fraction); });
 }
 void Balancer::set_retry_allowance(Time now, std::uint64_t retries) {
-  impl_->event(now, [&] { impl_->scheduler.set_retry_allowance(retries); });
+  impl_->handle_event(now, [&] { impl_->scheduler.set_retry_allowance(retries); });
 }
 void Balancer::on_wakeup(Time now) {
-  impl_->event(now, [&] { impl_->on_wake(); });
+  impl_->handle_event(now, [&] { impl_->on_wake(); });
 }
 std::vector<Action>& Balancer::actions() {
   return impl_->context.actions;
--- a/src/load_balancer/discovery_poller.hpp
+++ b/src/load_balancer/discovery_poller.hpp
@@ -20,7 +20,7 @@
  private:
   Context& context_;
   bool polling_ = false;    // a poll was sent and has not failed
-  bool responded_ = false;  // the last poll has been answered
+  bool responded_ = false;  // discovery has responded to the last poll
   Time polled_at_{};
   Time next_poll_at_{};
 };
--- a/src/load_balancer/idle_loss_estimator.hpp
+++ b/src/load_balancer/idle_loss_estimator.hpp
@@ -6,9 +6,10 @@
 
 namespace load_balancer {
 
-// The loss rate as a function of the idle time, in KSteps steps; step 0: no idle time. It does not
-// fall as the idle time grows: a loss also counts for all longer idle times, and an attempt that
-// arrived for all shorter ones. A loss at step 0 is not due to idleness and counts for it alone.
+// The loss rate as a function of the idle time, in KSteps steps; step 0: no idle time. A loss also
+// counts for all longer idle times, and an attempt that was not lost for all shorter ones, so the
+// rate does not fall from one step to the next. A loss at step 0 is not due to idle time and counts
+// for that step alone, whose rate may therefore exceed the others.
 template <std::size_t KSteps>
 class IdleLossEstimator {
  public:
--- a/src/load_balancer/key_queues.hpp
+++ b/src/load_balancer/key_queues.hpp
@@ -10,11 +10,11 @@
 
 namespace load_balancer {
 
-// The requests of one key.
+// The requests of a key.
 struct KeyQueue {
-  std::deque<std::uint32_t>
-      slots;              // of ActiveRequests, in order of arrival; only the first may run
-  Time cooldown_until{};  // no attempt is sent for the key before
+  // Slots of ActiveRequests in order of arrival. Only the first request may run.
+  std::deque<std::uint32_t> slots;
+  Time cooldown_until{};  // no request of the key is sent before
 };
 
 // The queues and cooldowns of all keys. It does not decide when a request is sent.
--- a/src/load_balancer/request_scheduler.hpp
+++ b/src/load_balancer/request_scheduler.hpp
@@ -61,12 +61,12 @@
   void add_timer(const ActiveRequest& request, Time at, TimerKind kind) {
     timers_.push({at, requests_.slot(request), request.generation, kind});
   }
+  // Appends a request to the queue of its key, or rejects it if those ahead would make it too late.
   void enqueue(ActiveRequest& request);
   void dispatch(ActiveRequest& request);
   // Sends an attempt if a host may get one and a response in time is possible. False: not sent.
   bool send(ActiveRequest& request);
-  // The same for a retry or hedged attempt, within the retry budget of the gateway and of the
-  // fleet.
+  // The same for a retry or hedged attempt, within the retry budgets of gateway and fleet.
   bool retry(ActiveRequest& request) {
     if (retry_tokens_ < 1 || retry_allowance_ == 0 || !send(request)) {
       return false;
@@ -88,7 +88,9 @@
     cancel_attempts(request);
     release_if_over(request);
   }
+  // Cancels the attempts in flight, if the embedding proxy can, except the number `except`.
   void cancel_attempts(ActiveRequest& request, std::uint32_t except = kNone);
+  // Removes the request if it has ended and no attempt is in flight; `request` is invalid then.
   void release_if_over(ActiveRequest& request);
 
   ActiveRequests& requests_;
--- a/src/load_balancer/slow_start.hpp
+++ b/src/load_balancer/slow_start.hpp
@@ -18,7 +18,7 @@
   bool try_admit(Host& host);
   // To be called for every attempt that is sent, whatever becomes of it.
   void on_sent(Host& host) { host.warmup_tokens -= hosts_.is_warming_up(host) ? 1 : 0; }
-  // A host has answered an attempt successfully. To be called after the load report of the same
+  // A host has served an attempt successfully. To be called after the load report of the same
   // response; a success without a report does not count towards the capacity.
   void on_success(Host& host) {
     hosts_.machine_type_of(host).reported_successes += host.reported_at == context_.now ? 1 : 0;
