--- a/src/load_balancer/connection_tracker.cpp
+++ b/src/load_balancer/connection_tracker.cpp
@@ -40,8 +40,9 @@
   }
 }
 
-// Hosts limit their connections. If every gateway kept those to hosts that it used only while its
-// own subset had no idle host, hosts would reach their limit and refuse other gateways.
+// Hosts limit their connections. If every gateway kept those to hosts that have left its subset, or
+// that it used only while the subset had no idle host, hosts would reach their limit and refuse
+// other gateways.
 void ConnectionTracker::sweep() {
   idle_loss_.decay(kLossDecay);
   for (std::size_t i = hosts_.subset_size(); i < hosts_.subset_order().size(); ++i) {
--- a/src/load_balancer/outlier_detector.cpp
+++ b/src/load_balancer/outlier_detector.cpp
@@ -28,10 +28,10 @@
 constexpr double kEjectionFailureRate = 0.45;
 constexpr double kPeerFailureMultiple = 2.5;
 // A host may fail or lose the requests of one class and serve the others; its mean failure rate
-// then stays low, so each class has a failure rate of its own.
-// Per outcome of the class at the host: three failures in a row raise the rate above a half.
+// then stays low, so each class has a failure rate of its own. Gain per outcome of the class at the
+// host: three failures in a row raise the rate above a half.
 constexpr double kClassFailureGain = 0.25;
-// Per outcome of the class at any host: the rate of all hosts covers the last fifty.
+// Gain per outcome of the class at any host: the rate of all hosts covers the last fifty.
 constexpr double kClassPeerGain = 0.02;
 // Up to this multiple of the rate of all hosts, a host's rate is noise within a common fault.
 constexpr double kClassPeerMultiple = 1.5;
@@ -41,8 +41,9 @@
 constexpr double kMaxEjectedFraction = 0.5;
 constexpr Duration kBaseEjectionTime = seconds(1);  // doubled with each further ejection,
 constexpr int kMaxEjectionDoublings = 3;            // at most this often
-// A host is unresponsive if the last response is longer ago than this multiple of its expected
-// latency, and than the minimum, as short pauses are normal.
+// A host is unresponsive if its last response, and the start of its oldest attempt in flight, are
+// longer ago than this multiple of its expected latency and than the minimum: short pauses are
+// normal.
 constexpr double kUnresponsiveLatencies = 4;
 constexpr Duration kMinUnresponsiveTime = milliseconds(150);
 // With this many rejections in a row the host is overloaded for more than a short peak.
