--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -23,12 +23,13 @@
 using load_balancer::RequestId;
 using load_balancer::Time;
 
-// The balancer's clock at the start of this process: hosts that started up to a day earlier have a
-// positive time on it.
+// Reading of the balancer's clock when this process starts. The balancer's times are never
+// negative, so the offset represents hosts that started up to 24 h earlier.
 constexpr Time kClockStart = std::chrono::hours(24);
-// The fraction of the shared budgets for each of two processes.
-constexpr double kBudgetFractionOfTwo = 0.5;
-http::HttpResponse plain(beast_http::status status) {
+// Fraction of the balancer's budgets for each process while two serve as one gateway.
+constexpr double kBudgetFractionWithSibling = 0.5;
+
+http::HttpResponse empty_response(beast_http::status status) {
   http::HttpResponse response;
   response.result(status);
   return response;
@@ -47,13 +48,13 @@
       request_mapper_(config.module),
       log_(std::move(log)),
       balancer_(config.module, now()),
-      hosts_(
+      upstream_pool_(
           io, upstream_limits(config, ProcessRole::sole),
           [this](http::AttemptCompletion completion) {
-            ends_.push_back(std::move(completion));
+            pending_completions_.push_back(std::move(completion));
             execute_actions();
           },
-          buffers_),
+          buffer_budget_),
       discovery_(io, *clock_, config.discovery,
                  {[this](const discovery::EndpointList& list) {
                     on_endpoint_update(
@@ -62,7 +63,7 @@
                   [this] {
                     balancer_.on_endpoint_update(now(), EndpointUpdateKind::unavailable, {});
                     execute_actions();
-                    if (socket_is_shared_ && hosts_.hosts() > 0) {
+                    if (socket_is_shared_ && upstream_pool_.hosts() > 0) {
                       become_ready();
                     }
                   }},
@@ -71,14 +72,14 @@
       stop_timer_(clock_->make_timer()),
       ready_timer_(clock_->make_timer()),
       socket_is_shared_(config.passed_socket.has_value()),
-      clients_(io, {config.listen, config.passed_socket},
-               client_limits(config, overrides.clients, ProcessRole::sole),
-               {[this](http::ClientRequest request) { on_request(std::move(request)); },
-                [this](http::ExchangeId exchange) { on_body_complete(exchange); },
-                [this](http::ExchangeId exchange) {
-                  on_client_disconnected(exchange);
-                }},
-               buffers_) {
+      client_listener_(io, {config.listen, config.passed_socket},
+                       client_limits(config, overrides.clients, ProcessRole::sole),
+                       {[this](http::ClientRequest request) { on_request(std::move(request)); },
+                        [this](http::ExchangeId exchange) { on_body_complete(exchange); },
+                        [this](http::ExchangeId exchange) {
+                          on_client_disconnected(exchange);
+                        }},
+                       buffer_budget_) {
   apply_limits();
   if (config.known) {
     discovery_.set_known_version(config.known->version);
@@ -90,14 +91,14 @@
     return;
   }
   ready_timer_->wait_until(clock_->now() + kEndpointListTimeout, [this] {
-    if (hosts_.hosts() > 0) {
+    if (upstream_pool_.hosts() > 0) {
       become_ready();
     }
   });
 }
 
 Gateway::~Gateway() {
-  hosts_.stop();
+  upstream_pool_.stop();
   discovery_.stop();
 }
 
@@ -105,7 +106,8 @@
   return kClockStart + (clock_->now() - start_);
 }
 
-// The offset never changes: the balancer takes a host whose start time moves for a new process.
+// Converts a time in ms since the Unix epoch. The offset between the two clocks is taken once, in
+// the constructor: the balancer takes a changed start time of a host for a restart of the host.
 Time Gateway::balancer_time(std::int64_t unix_ms) const {
   if (unix_ms <= 0) {
     return Time{};
@@ -125,21 +127,22 @@
   balancer_.on_endpoint_update(now(), kind, endpoints);
   update_upstream_hosts(list, kind);
   notify_endpoints_listed(list);
-  if (fleet_) {
+  if (fleet_hooks_) {
     report_endpoints_to_fleet(list, kind);
   }
-  // The restored list may be old. Beside a process that serves, there is time to poll a new one.
+  // A restored list may be out of date. A process whose sibling still serves clients waits for a
+  // current one; a sole process accepts clients at once unless the restored list is empty.
   if (kind != EndpointUpdateKind::restored || (!socket_is_shared_ && !list.hosts.empty())) {
     become_ready();
   }
   execute_actions();
-  // A pending connect could succeed much later and begin its attempt at a host that drains or is
-  // removed.
-  hosts_.drop_unsent_to_unlisted();
+  // A pending connect could succeed much later and then send its attempt to a host that drains or
+  // is removed.
+  upstream_pool_.fail_unsent_to_non_serving();
 }
 
-// The uid identifies a host to the balancer: it is the same at all gateways, and stays when the
-// address changes.
+// The balancer's address of a host is its uid: unlike the network address it never changes, and it
+// is the same at all gateways.
 load_balancer::Endpoint Gateway::to_endpoint(const discovery::ListedEndpoint& listed) const {
   load_balancer::Endpoint endpoint;
   endpoint.address = listed.uid;
@@ -159,11 +162,12 @@
 
 void Gateway::update_upstream_hosts(const discovery::EndpointList& list, EndpointUpdateKind kind) {
   if (kind != EndpointUpdateKind::delta) {
-    hosts_.unlist_all();
+    upstream_pool_.mark_all_not_serving();
   }
   for (const discovery::ListedEndpoint& host : list.hosts) {
     if (const HostId id = balancer_.find_host(host.uid); id != load_balancer::kNone) {
-      hosts_.list(id, host.endpoint, host.state == discovery::ListedEndpointState::serving);
+      upstream_pool_.update_host(id, host.endpoint,
+                                 host.state == discovery::ListedEndpointState::serving);
     }
   }
 }
@@ -181,7 +185,7 @@
 void Gateway::become_ready() {
   ready_ = true;
   if (!stopping_) {
-    clients_.start_accepting();
+    client_listener_.start_accepting();
   }
 }
 
@@ -190,76 +194,77 @@
   const bool is_read =
       message.method() == beast_http::verb::get || message.method() == beast_http::verb::head;
   if (message.target() == "/up" && is_read) {
-    return clients_.respond(
-        request.exchange,
-        plain(is_available() ? beast_http::status::ok : beast_http::status::service_unavailable));
+    return client_listener_.respond(
+        request.exchange, empty_response(is_available() ? beast_http::status::ok
+                                                        : beast_http::status::service_unavailable));
   }
   RequestMapper::Result mapped = request_mapper_.map(message);
   if (const auto* const error = std::get_if<beast_http::status>(&mapped)) {
-    return clients_.respond(request.exchange, plain(*error));
+    return client_listener_.respond(request.exchange, empty_response(*error));
   }
   auto& balancer_request = std::get<load_balancer::Request>(mapped);
-  // Forwarded, a request with the id of an active one would be executed twice.
+  // Forwarding a request with the id of an active request could execute the request twice.
   std::string request_id = message["X-Request-Id"].to_string();
   if (!active_request_ids_.insert(request_id).second) {
-    return clients_.respond(request.exchange, plain(beast_http::status::conflict));
+    return client_listener_.respond(request.exchange, empty_response(beast_http::status::conflict));
   }
   const string_view tenant = message["X-Tenant"];
-  if (fleet_ && !fleet_->try_admit(settings_.classes[balancer_request.class_index].name,
-                                   std::string_view(tenant.data(), tenant.size()))) {
+  if (fleet_hooks_ && !fleet_hooks_->try_admit(settings_.classes[balancer_request.class_index].name,
+                                               std::string_view(tenant.data(), tenant.size()))) {
     active_request_ids_.erase(request_id);
-    return clients_.respond(request.exchange, plain(beast_http::status::too_many_requests));
+    return client_listener_.respond(request.exchange,
+                                    empty_response(beast_http::status::too_many_requests));
   }
   update_retry_allowance();
-  balancer_request.id = ++last_request_;
+  balancer_request.id = ++last_request_id_;
   balancer_request.time_remaining -= kResponseMargin;
   balancer_request.body_pending = request.body != nullptr;
   remove_hop_by_hop_fields(request.message);
   ProxiedRequest& proxied = requests_[balancer_request.id];
-  proxied.client = request.exchange;
+  proxied.exchange = request.exchange;
   proxied.message = std::move(request.message);
   proxied.body = std::move(request.body);
   proxied.request_id = std::move(request_id);
-  by_client_.emplace(request.exchange, balancer_request.id);
+  request_by_exchange_.emplace(request.exchange, balancer_request.id);
   balancer_.on_request(now(), balancer_request);
   execute_actions();
 }
 
-void Gateway::on_body_complete(http::ExchangeId client) {
-  const auto known = by_client_.find(client);
-  if (known == by_client_.end()) {
+void Gateway::on_body_complete(http::ExchangeId exchange) {
+  const auto entry = request_by_exchange_.find(exchange);
+  if (entry == request_by_exchange_.end()) {
     return;
   }
-  balancer_.on_request_complete(now(), known->second);
+  balancer_.on_request_complete(now(), entry->second);
   execute_actions();
 }
 
-void Gateway::on_client_disconnected(http::ExchangeId client) {
-  const auto known = by_client_.find(client);
-  if (known == by_client_.end()) {
+void Gateway::on_client_disconnected(http::ExchangeId exchange) {
+  const auto entry = request_by_exchange_.find(exchange);
+  if (entry == request_by_exchange_.end()) {
     return;
   }
-  const RequestId id = known->second;
-  by_client_.erase(known);
+  const RequestId id = entry->second;
+  request_by_exchange_.erase(entry);
   requests_.at(id).ended = true;
-  over_.push_back(id);
+  removal_candidates_.push_back(id);
   balancer_.on_client_disconnected(now(), id);
   cancel_unsent(id);
   execute_actions();
 }
 
 void Gateway::on_attempt_finished(http::AttemptCompletion completion) {
-  const auto known = requests_.find(completion.key.request);
-  if (known == requests_.end()) {
+  const auto entry = requests_.find(completion.key.request);
+  if (entry == requests_.end()) {
     return completion.stream ? completion.stream->drop() : void();
   }
-  ProxiedRequest& request = known->second;
-  --request.out;
-  over_.push_back(completion.key.request);
+  ProxiedRequest& request = entry->second;
+  --request.attempts_in_flight;
+  removal_candidates_.push_back(completion.key.request);
   if (completion.outcome == AttemptOutcome::success && !request.ended) {
     remove_hop_by_hop_fields(completion.response);
     completion.response.erase("X-Load");
-    answer(request, std::move(completion.response), std::move(completion.stream));
+    respond(request, std::move(completion.response), std::move(completion.stream));
   } else if (completion.stream) {
     completion.stream->drop();
   }
@@ -271,7 +276,7 @@
   result.elapsed = completion.elapsed;
   result.is_final = request.ended;
   result.request_consumed = request.body && request.body->consumed();
-  if (fleet_) {
+  if (fleet_hooks_) {
     report_attempt_to_fleet(completion);
   }
   if (completion.load) {
@@ -282,8 +287,9 @@
 
 // --- Actions ---
 
-// Executes all actions in their order, including those that their own results cause. An action that
-// ends an attempt at once must not call the balancer while earlier actions are pending.
+// Executes the balancer's actions in order, including those that result from them. An action may
+// complete its attempt synchronously; the completion is queued, because the balancer must not be
+// called while actions of an earlier event are pending.
 void Gateway::execute_actions() {
   if (executing_) {
     return;
@@ -301,11 +307,11 @@
     if (!balancer_.actions().empty()) {
       continue;
     }
-    if (ends_.empty()) {
+    if (pending_completions_.empty()) {
       break;
     }
-    http::AttemptCompletion completion = std::move(ends_.front());
-    ends_.pop_front();
+    http::AttemptCompletion completion = std::move(pending_completions_.front());
+    pending_completions_.pop_front();
     on_attempt_finished(std::move(completion));
   }
   executing_ = false;
@@ -313,23 +319,23 @@
 }
 
 void Gateway::forget_finished_requests() {
-  for (const RequestId id : std::exchange(over_, {})) {
-    const auto known = requests_.find(id);
-    if (known != requests_.end() && known->second.ended && known->second.out == 0) {
-      active_request_ids_.erase(known->second.request_id);
-      requests_.erase(known);
+  for (const RequestId id : std::exchange(removal_candidates_, {})) {
+    const auto entry = requests_.find(id);
+    if (entry != requests_.end() && entry->second.ended && entry->second.attempts_in_flight == 0) {
+      active_request_ids_.erase(entry->second.request_id);
+      requests_.erase(entry);
     }
   }
 }
 
-// Only between events: during one the balancer has already subtracted retries whose actions are
-// still pending.
+// Does nothing while actions are executed: the balancer has then subtracted the retries that it
+// decided to send, and the fleet has not, as their SendAttempt actions may be pending.
 void Gateway::update_retry_allowance() {
-  if (!fleet_ || executing_ || fleet_->retries_allowed() == allowed_) {
+  if (!fleet_hooks_ || executing_ || fleet_hooks_->retries_allowed() == retry_allowance_) {
     return;
   }
-  allowed_ = fleet_->retries_allowed();
-  balancer_.set_retry_allowance(now(), allowed_);
+  retry_allowance_ = fleet_hooks_->retries_allowed();
+  balancer_.set_retry_allowance(now(), retry_allowance_);
 }
 
 void Gateway::report_endpoints_to_fleet(const discovery::EndpointList& list,
@@ -344,7 +350,7 @@
       listed_uids_.insert(host.uid);
     }
   }
-  fleet_->on_endpoints_listed({listed_uids_.begin(), listed_uids_.end()});
+  fleet_hooks_->on_endpoints_listed({listed_uids_.begin(), listed_uids_.end()});
 }
 
 void Gateway::report_attempt_to_fleet(const http::AttemptCompletion& completion) {
@@ -354,27 +360,28 @@
                            completion.outcome == AttemptOutcome::reset ||
                            completion.outcome == AttemptOutcome::connect_failed;
   if (success || host_failed) {
-    fleet_->on_attempt_finished(balancer_.address(completion.host), success);
+    fleet_hooks_->on_attempt_finished(balancer_.address(completion.host), success);
   }
 }
 
 void Gateway::execute(const Action& action) {
-  std::visit(load_balancer::ActionVisitor{
-                 [this](const load_balancer::SendAttempt& attempt) { send(attempt); },
-                 [this](const load_balancer::RejectRequest& rejection) { reject(rejection); },
-                 [this](const load_balancer::FailRequest& failure) { fail(failure); },
-                 [this](const load_balancer::CancelAttempt& attempt) {
-                   hosts_.cancel({attempt.request, attempt.attempt});
-                 },
-                 [this](const load_balancer::CloseIdleConnections& close) {
-                   hosts_.close_idle(close.host);
-                 },
-                 [this](const load_balancer::ForgetHost& forget) { hosts_.forget(forget.host); },
-                 [this](const load_balancer::ScheduleWakeup& wakeup) { wake_at(wakeup.at); },
-                 [this](const load_balancer::PollEndpoints&) { discovery_.watch(); },
-                 [this](const load_balancer::LogMessage& message) { log_(message.text); },
-             },
-             action);
+  std::visit(
+      load_balancer::ActionVisitor{
+          [this](const load_balancer::SendAttempt& attempt) { send(attempt); },
+          [this](const load_balancer::RejectRequest& rejection) { reject(rejection); },
+          [this](const load_balancer::FailRequest& failure) { fail(failure); },
+          [this](const load_balancer::CancelAttempt& attempt) {
+            upstream_pool_.cancel({attempt.request, attempt.attempt});
+          },
+          [this](const load_balancer::CloseIdleConnections& close) {
+            upstream_pool_.close_idle(close.host);
+          },
+          [this](const load_balancer::ForgetHost& forget) { upstream_pool_.forget(forget.host); },
+          [this](const load_balancer::ScheduleWakeup& wakeup) { schedule_wakeup(wakeup.at); },
+          [this](const load_balancer::PollEndpoints&) { discovery_.watch(); },
+          [this](const load_balancer::LogMessage& message) { log_(message.text); },
+      },
+      action);
 }
 
 void Gateway::send(const load_balancer::SendAttempt& action) {
@@ -382,41 +389,41 @@
   if (it == requests_.end()) {
     return;
   }
-  ProxiedRequest& exchange = it->second;
-  ++exchange.begun;
-  ++exchange.out;
-  // Danger: the client's close and what brought this about may have come in one turn of the loop,
-  // or the request lay unread while its client gave up: then nothing is begun for it any more.
-  if (exchange.ended || clients_.left(exchange.client)) {
-    http::AttemptCompletion moot;
-    moot.key = {action.request, action.attempt};
-    moot.host = action.host;
-    moot.outcome = AttemptOutcome::not_sent;
-    ends_.push_back(std::move(moot));
+  ProxiedRequest& request = it->second;
+  ++request.attempts_ordered;
+  ++request.attempts_in_flight;
+  // The client may have disconnected without a notification so far: in the same iteration of the
+  // event loop, or before its request was read. Nothing is sent for such a request.
+  if (request.ended || client_listener_.close_if_disconnected(request.exchange)) {
+    http::AttemptCompletion unsent;
+    unsent.key = {action.request, action.attempt};
+    unsent.host = action.host;
+    unsent.outcome = AttemptOutcome::not_sent;
+    pending_completions_.push_back(std::move(unsent));
     return;
   }
-  if (fleet_ && action.attempt > 0) {
-    fleet_->on_retry_sent();
-    if (allowed_ > 0) {
-      --allowed_;  // as the module has
+  if (fleet_hooks_ && action.attempt > 0) {
+    fleet_hooks_->on_retry_sent();
+    if (retry_allowance_ > 0) {
+      --retry_allowance_;  // the balancer has subtracted it as well
     }
   }
-  http::HttpRequest message = exchange.message;
+  http::HttpRequest message = request.message;
   message.version(11);
   message.keep_alive(true);
-  if (exchange.body) {
+  if (request.body) {
     if (!message.has_content_length()) {
       message.chunked(true);
     }
   } else if (message.method() == beast_http::verb::post || !message.body().empty()) {
     message.prepare_payload();
   }
-  hosts_.start({action.request, action.attempt}, action.host, std::move(message),
-               {action.timeout, action.must_start_within}, exchange.body);
+  upstream_pool_.start({action.request, action.attempt}, action.host, std::move(message),
+                       {action.timeout, action.must_start_within}, request.body);
 }
 
 void Gateway::reject(const load_balancer::RejectRequest& rejection) {
-  http::HttpResponse response = plain(beast_http::status::service_unavailable);
+  http::HttpResponse response = empty_response(beast_http::status::service_unavailable);
   if (rejection.retry_after > Duration{}) {
     std::array<char, 32> text{};
     std::snprintf(text.data(), text.size(), "%.3f",
@@ -427,7 +434,7 @@
 }
 
 void Gateway::fail(const load_balancer::FailRequest& failure) {
-  reject_or_fail(failure.request, plain(beast_http::status::bad_gateway));
+  reject_or_fail(failure.request, empty_response(beast_http::status::bad_gateway));
 }
 
 void Gateway::reject_or_fail(RequestId id, http::HttpResponse response) {
@@ -435,35 +442,38 @@
   if (position == requests_.end() || position->second.ended) {
     return;
   }
-  over_.push_back(id);
-  answer(position->second, std::move(response));
+  removal_candidates_.push_back(id);
+  respond(position->second, std::move(response));
 }
 
-void Gateway::answer(ProxiedRequest& request, http::HttpResponse response,
-                     std::shared_ptr<http::BodyStream> stream) {
+void Gateway::respond(ProxiedRequest& request, http::HttpResponse response,
+                      std::shared_ptr<http::BodyStream> stream) {
   request.ended = true;
-  if (const auto known = by_client_.find(request.client); known != by_client_.end()) {
-    cancel_unsent(known->second);
-    by_client_.erase(known);
+  if (const auto entry = request_by_exchange_.find(request.exchange);
+      entry != request_by_exchange_.end()) {
+    cancel_unsent(entry->second);
+    request_by_exchange_.erase(entry);
   }
-  clients_.respond(request.client, std::move(response), std::move(stream));
+  client_listener_.respond(request.exchange, std::move(response), std::move(stream));
 }
 
-// For an ended request. Also where the settings forbid to cancel attempts: one that still waits for
-// a connection has not been sent.
+// Cancels the attempts of an ended request that still wait for a connection, even if the settings
+// forbid cancelling attempts: nothing of these has been sent.
 void Gateway::cancel_unsent(RequestId id) {
   for (std::uint32_t i = 0;; ++i) {
-    const auto it = requests_.find(id);  // the end of its last attempt may remove it
-    if (it == requests_.end() || it->second.out == 0 || i >= it->second.begun) {
+    const auto it = requests_.find(id);  // completing its last attempt removes it
+    if (it == requests_.end() || it->second.attempts_in_flight == 0 ||
+        i >= it->second.attempts_ordered) {
       return;
     }
-    hosts_.cancel_unsent({id, i});
+    upstream_pool_.cancel_unsent({id, i});
   }
 }
 
-// The balancer keeps one wakeup and schedules no other while it is pending, so the latest one
-// replaces it: an event at the very moment of a wakeup schedules another a nanosecond later.
-void Gateway::wake_at(Time at) {
+// Replaces the previous wakeup. The balancer schedules another only if it is earlier than the
+// pending one, or if the pending one is due: then the new one is at least 1 ns later. So none is
+// lost.
+void Gateway::schedule_wakeup(Time at) {
   wakeup_timer_->wait_until(start_ + (at - kClockStart), [this] {
     balancer_.on_wakeup(now());
     execute_actions();
@@ -472,7 +482,8 @@
 
 // --- Reload, drain, stop ---
 
-// The listener and the balancer's settings stay until a restart: active requests depend on them.
+// The listening socket and the balancer's settings change only with a restart, because active
+// requests depend on them.
 void Gateway::reload(const config::Config& config) {
   config_ = config;
   discovery_.switch_server(config.discovery);
@@ -480,13 +491,13 @@
 }
 
 void Gateway::apply_limits() {
-  buffers_->limit_bytes = body_memory(config_, role_);
-  hosts_.set_limits(upstream_limits(config_, role_));
-  clients_.set_limits(client_limits(config_, overrides_.clients, role_));
+  buffer_budget_->limit_bytes = body_memory(config_, role_);
+  upstream_pool_.set_limits(upstream_limits(config_, role_));
+  client_listener_.set_limits(client_limits(config_, overrides_.clients, role_));
 }
 
 void Gateway::join_fleet(FleetHooks hooks) {
-  fleet_ = std::move(hooks);
+  fleet_hooks_ = std::move(hooks);
   if (config_.known) {
     report_endpoints_to_fleet(*config_.known, EndpointUpdateKind::restored);
   }
@@ -517,7 +528,7 @@
   balancer_.set_maintenance(now(), uid, enabled);
   execute_actions();
   if (enabled && id != load_balancer::kNone) {
-    hosts_.drop_unsent(id);
+    upstream_pool_.fail_unsent(id);
   }
 }
 
@@ -535,14 +546,14 @@
   }
   role_ = role;
   apply_limits();
-  balancer_.set_budget_fraction(now(), has_sibling ? kBudgetFractionOfTwo : 1);
+  balancer_.set_budget_fraction(now(), has_sibling ? kBudgetFractionWithSibling : 1);
   execute_actions();
 }
 
 void Gateway::set_drained(bool drained) {
   drained_ = drained;
   if (!stopping_) {
-    clients_.close_idle(drained);
+    client_listener_.close_idle(drained);
   }
 }
 
@@ -552,16 +563,16 @@
   }
   stopping_ = true;
   on_stopped_ = std::move(done);
-  clients_.close_idle(true);
-  // Connections waiting at a shared socket are accepted by the next process; at an own one they
-  // would be lost.
+  client_listener_.close_idle(true);
+  // The connections that wait at a shared socket are accepted by the next process. At a socket that
+  // is not shared they would be lost, so they are accepted for kStopAcceptingDelay.
   stop_timer_->wait_until(
       clock_->now() + (socket_is_shared_ ? std::chrono::milliseconds(0) : kStopAcceptingDelay),
       [this] {
-        clients_.on_empty = [this] {
+        client_listener_.on_empty = [this] {
           on_stopped_();
         };
-        clients_.stop_accepting();
+        client_listener_.stop_accepting();
       });
 }
 
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -1,5 +1,6 @@
-// One gateway: reports the events of its sockets to the Balancer and executes its decisions. All
-// functions run on the event loop's thread.
+/// @file
+/// A gateway process without its command line, signals and operators' calls: reports the events of
+/// the sockets to the Balancer and executes the Balancer's actions.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -27,59 +28,75 @@
 
 namespace gateway {
 
-// The response is sent this long before the client's timeout, for its transfer and for a busy
-// machine.
+/// The balancer gets this much less time than the client's timeout: a response takes time to reach
+/// the client, and more on a busy machine.
 inline constexpr std::chrono::milliseconds kResponseMargin{10};
-// New connections are accepted for this long after stop(): clients learn of it late.
+/// How long a process whose listening socket is not shared accepts connections after stop():
+/// clients stop connecting to it only with a delay.
 inline constexpr std::chrono::milliseconds kStopAcceptingDelay{700};
-// A process that starts beside one that serves already accepts clients once discovery has answered,
-// or after this.
+/// A process that starts beside a serving sibling accepts clients once discovery has sent an
+/// endpoint list. With restored hosts it accepts them after this time at the latest.
 inline constexpr std::chrono::milliseconds kEndpointListTimeout{1500};
 
+/// Used on the event loop's thread only; callbacks run on it too. The io_context must outlive the
+/// gateway.
 class Gateway {
  public:
-  // Limits and time limits that only tests change.
+  /// Limits, time limits and the clock; the program uses the defaults, tests change them.
   struct Overrides {
     http::ClientListener::Limits clients;
     discovery::DiscoveryClient::Waits discovery;
-    // Of the balancer, of discovery and of stop(); null: the system's.
+    /// Used by the balancer, discovery, stop() and kEndpointListTimeout. Null: the system's clock.
     std::shared_ptr<runtime::Clock> clock;
   };
 
-  // Listens and polls discovery at once. Throws boost::system::system_error if it can't listen, or
-  // std::invalid_argument if the passed descriptor is no listening socket.
+  /// Listens and polls discovery at once. `log` gets the balancer's log lines. Throws
+  /// boost::system::system_error if it can't listen, std::invalid_argument if the passed descriptor
+  /// is no listening socket or a setting of the balancer is invalid.
   Gateway(boost::asio::io_context& io, const config::Config& config, const Overrides& overrides,
           std::function<void(std::string)> log);
   ~Gateway();
   Gateway(const Gateway&) = delete;
   Gateway& operator=(const Gateway&) = delete;
 
-  boost::asio::ip::tcp::endpoint local_endpoint() const { return clients_.local_endpoint(); }
-  bool is_available() const { return ready_ && !stopping_ && !drained_ && clients_.accepting(); }
-  // Another process of the same gateway runs: the two share the limits of one.
+  /// Address of the clients' listening socket.
+  boost::asio::ip::tcp::endpoint local_endpoint() const {
+    return client_listener_.local_endpoint();
+  }
+  /// Whether new clients should use this process: the result of GET /up.
+  bool is_available() const {
+    return ready_ && !stopping_ && !drained_ && client_listener_.accepting();
+  }
+  /// Sets whether another process of the same gateway runs: the two then share the limits of one.
   void set_has_sibling(bool has_sibling);
-  // An operator begins or ends the maintenance of a host. `uid` is its id in discovery.
+  /// Begins or ends the maintenance of a host by an operator. `uid` is the host's id in discovery.
   void set_maintenance(const std::string& uid, bool enabled);
   using FleetHooks = gateway::FleetHooks;
-  // Called once at most, before the event loop runs.
+  /// Called at most once, before the event loop runs.
   void join_fleet(FleetHooks hooks);
-  // The result of FleetHooks::retries_allowed may have changed.
+  /// Called when the result of FleetHooks::retries_allowed may have changed.
   void update_retry_allowance();
-  // The same for a decision of the fleet. A host is in maintenance while the operator or the fleet
-  // says so.
+  /// Begins or ends the maintenance of a host by the fleet, when it ejects a host or returns it. A
+  /// host is in maintenance as long as an operator, the fleet or both have put it there.
   void set_maintenance_by_fleet(const std::string& uid, bool enabled);
-  // Sets the callback for each host in an endpoint list. It is called at once for the hosts that
-  // were listed already.
+  /// Sets the callback for each host in an endpoint list. It is called at once for the hosts that
+  /// have been listed so far.
   void on_endpoint_listed(std::function<void(const std::string& uid)> callback);
-  // While drained, requests are still served, but connections are closed and /up answers 503.
+  /// While drained, requests are still served, but each connection is closed after its response or
+  /// once it is idle, and GET /up responds with 503.
   void set_drained(bool drained);
-  // Applies the discovery server and the limits of a new configuration. Active requests continue.
+  /// Applies the discovery server and the limits of a new configuration. Active requests continue.
   void reload(const config::Config& config);
+  /// Requests without a response or with attempts in flight.
   std::size_t active_requests() const { return requests_.size(); }
-  std::size_t hosts() const { return hosts_.hosts(); }
-  std::size_t connections() const { return clients_.connections() + hosts_.connections(); }
-  // Graceful shutdown: finishes active requests, closes all connections, then calls `done`. Can't
-  // be undone.
+  /// Number of hosts that discovery lists or that have active requests.
+  std::size_t hosts() const { return upstream_pool_.hosts(); }
+  /// Number of connections to clients and hosts.
+  std::size_t connections() const {
+    return client_listener_.connections() + upstream_pool_.connections();
+  }
+  /// Begins a graceful shutdown: finishes active requests, closes all connections, then calls
+  /// `done`. Can't be undone; further calls have no effect.
   void stop(std::function<void()> done);
 
  private:
@@ -110,37 +127,39 @@
   void fail(const load_balancer::FailRequest& failure);
   void reject_or_fail(load_balancer::RequestId id, http::HttpResponse response);
   void on_attempt_finished(http::AttemptCompletion completion);
-  void answer(ProxiedRequest& request, http::HttpResponse response,
-              std::shared_ptr<http::BodyStream> stream = nullptr);
+  void respond(ProxiedRequest& request, http::HttpResponse response,
+               std::shared_ptr<http::BodyStream> stream = nullptr);
   void cancel_unsent(load_balancer::RequestId id);
-  void wake_at(load_balancer::Time at);
+  void schedule_wakeup(load_balancer::Time at);
 
   std::shared_ptr<runtime::Clock> clock_;
   std::chrono::steady_clock::time_point start_;
   std::chrono::system_clock::time_point unix_start_;
   load_balancer::Settings settings_;
-  config::Config config_;  // the latest, for the limits
+  config::Config config_;  // the latest one; its limits and known hosts are in use
   Overrides overrides_;
   RequestMapper request_mapper_;
   std::function<void(std::string)> log_;
   load_balancer::Balancer balancer_;
-  std::shared_ptr<http::BufferBudget> buffers_ = std::make_shared<http::BufferBudget>();
-  http::UpstreamPool hosts_;
+  std::shared_ptr<http::BufferBudget> buffer_budget_ = std::make_shared<http::BufferBudget>();
+  http::UpstreamPool upstream_pool_;
   discovery::DiscoveryClient discovery_;
   std::unordered_map<load_balancer::RequestId, ProxiedRequest> requests_;
-  std::unordered_map<http::ExchangeId, load_balancer::RequestId> by_client_;
-  std::unordered_set<std::string> active_request_ids_;  // of requests_
-  std::vector<load_balancer::RequestId> over_;  // may be removed once the actions are executed
-  std::deque<http::AttemptCompletion> ends_;    // not yet reported to the balancer
+  // Requests without a response.
+  std::unordered_map<http::ExchangeId, load_balancer::RequestId> request_by_exchange_;
+  std::unordered_set<std::string> active_request_ids_;  // X-Request-Id of requests_
+  // Requests that may be finished; checked once all pending actions are executed.
+  std::vector<load_balancer::RequestId> removal_candidates_;
+  std::deque<http::AttemptCompletion> pending_completions_;  // not yet reported to the balancer
   std::unique_ptr<runtime::Timer> wakeup_timer_;
   std::unique_ptr<runtime::Timer> stop_timer_;
   std::unique_ptr<runtime::Timer> ready_timer_;
-  load_balancer::RequestId last_request_ = 0;
+  load_balancer::RequestId last_request_id_ = 0;
   std::function<void()> on_stopped_;
   std::function<void(const std::string&)> on_endpoint_listed_;
   std::unordered_set<std::string> uids_before_callback_;  // until on_endpoint_listed_ is set
-  std::optional<FleetHooks> fleet_;
-  std::uint64_t allowed_ = UINT64_MAX;           // retries, as the balancer knows
+  std::optional<FleetHooks> fleet_hooks_;
+  std::uint64_t retry_allowance_ = UINT64_MAX;   // retries that the balancer may still send
   std::unordered_set<std::string> listed_uids_;  // only with a fleet
   std::unordered_set<std::string> maintenance_by_operator_;
   std::unordered_set<std::string> maintenance_by_fleet_;
@@ -149,8 +168,8 @@
   bool stopping_ = false;
   bool drained_ = false;
   ProcessRole role_ = ProcessRole::sole;
-  bool socket_is_shared_ = false;  // with another process
-  http::ClientListener clients_;   // last, as it may deliver requests once it is constructed
+  bool socket_is_shared_ = false;         // with a sibling
+  http::ClientListener client_listener_;  // last: its callbacks use the other members
 };
 
 }  // namespace gateway
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -1,4 +1,5 @@
-// The gateway as a program: configuration, signals, exit codes.
+/// @file
+/// The gateway's program: configuration, signals, operators' calls, fleet and exit codes.
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <csignal>
@@ -17,44 +18,50 @@
 
 namespace {
 
-constexpr int kFailed = 1, kBadConfig = 2;
+// Exit codes.
+constexpr int kFailed = 1;
+constexpr int kBadConfig = 2;
 
 void log(const std::string& line) {
   std::cerr << line << '\n';
 }
 
-gateway::config::Config read_file(gateway::config::ConfigSource reading) {
-  return gateway::config::load_config([](const char* name) { return std::getenv(name); }, reading);
+gateway::config::Config read_config(gateway::config::ConfigSource source) {
+  return gateway::config::load_config([](const char* name) { return std::getenv(name); }, source);
 }
 
-// SIGHUP: the file is read anew. A bad one is a line in the log, and the old settings go on.
-void reload_at_each_hangup(boost::asio::signal_set& hangups, gateway::Gateway& gateway) {
-  hangups.async_wait([&](boost::system::error_code ec, int) {
+// Reloads the configuration on each SIGHUP. An invalid configuration is logged, and the previous
+// one stays in use.
+void reload_on_hangup(boost::asio::signal_set& hangup_signals, gateway::Gateway& gateway) {
+  hangup_signals.async_wait([&](boost::system::error_code ec, int) {
     if (ec) {
       return;
     }
     try {
-      gateway.reload(read_file(gateway::config::ConfigSource::again));
+      gateway.reload(read_config(gateway::config::ConfigSource::again));
       log("configuration read again");
-    } catch (const std::exception& bad) {
-      log(std::string("configuration not taken: ") + bad.what());
+    } catch (const std::exception& error) {
+      log(std::string("configuration not taken: ") + error.what());
     }
-    reload_at_each_hangup(hangups, gateway);
+    reload_on_hangup(hangup_signals, gateway);
   });
 }
 
-// What operators set is kept where the next process of this gateway finds it.
+// The directory in which all processes of this gateway find what operators have set. Empty without
+// TMPDIR: nothing is stored then.
 std::string state_directory(const gateway::config::Config& config) {
   const char* base = std::getenv("TMPDIR");
   if (!base || !*base) {
-    log("TMPDIR is not set: hosts taken out are forgotten when this process ends");
+    log("TMPDIR is not set: the maintenance of hosts is forgotten when this process ends");
     return {};
   }
   return std::string(base) + "/" + gateway::admin::file_name_of(config.name) + "-state";
 }
 
-// What the gateway shares with its fleet; nothing unless an operator names a file.
-std::optional<gateway::fleet_agent::Config> read_fleet(const gateway::config::Config& config) {
+// The configuration of the fleet agent, or nothing if GW_FLEET names no file: the gateway then
+// belongs to no fleet.
+std::optional<gateway::fleet_agent::Config> read_fleet_config(
+    const gateway::config::Config& config) {
   const char* file = std::getenv("GW_FLEET");
   if (!file || !*file) {
     return std::nullopt;
@@ -67,13 +74,16 @@
                 gateway::fleet_agent::Config config) {
   agent.emplace(
       io, std::move(config),
-      gateway::fleet_agent::GatewayControls{
-          [&](const std::string& uid, bool out) { gateway.set_maintenance_by_fleet(uid, out); },
-          [&] { gateway.update_retry_allowance(); }, log});
+      gateway::fleet_agent::GatewayControls{[&](const std::string& uid, bool ejected) {
+                                              gateway.set_maintenance_by_fleet(uid, ejected);
+                                            },
+                                            [&] { gateway.update_retry_allowance(); }, log});
   gateway.join_fleet(
-      {[&](std::string_view cls, std::string_view tenant) { return agent->try_admit(cls, tenant); },
+      {[&](std::string_view request_class, std::string_view tenant) {
+         return agent->try_admit(request_class, tenant);
+       },
        [&] { agent->on_retry_sent(); }, [&] { return agent->allowed_retries(); },
-       [&](const std::string& uid, bool good) { agent->on_attempt_result(uid, good); },
+       [&](const std::string& uid, bool success) { agent->on_attempt_result(uid, success); },
        [&](std::vector<std::string> uids) {
          agent->on_hosts(std::move(uids));
        }});
@@ -81,36 +91,38 @@
 
 int serve() {
   boost::asio::io_context io(1);
-  // Danger: until they are taken, signals end the process; so before anything that takes its time.
-  boost::asio::signal_set stops(io, SIGTERM, SIGINT);
-  boost::asio::signal_set hangups(io, SIGHUP);
-  const gateway::config::Config config = read_file(gateway::config::ConfigSource::at_start);
-  std::optional<gateway::fleet_agent::Config> fleet_config = read_fleet(config);
-  std::optional<gateway::fleet_agent::FleetAgent>
-      agent;  // outlives the gateway, which asks and tells it
+  // Before anything that takes time: without these handlers a signal ends the process at once.
+  boost::asio::signal_set stop_signals(io, SIGTERM, SIGINT);
+  boost::asio::signal_set hangup_signals(io, SIGHUP);
+  const gateway::config::Config config = read_config(gateway::config::ConfigSource::at_start);
+  std::optional<gateway::fleet_agent::Config> fleet_config = read_fleet_config(config);
+  std::optional<gateway::fleet_agent::FleetAgent> agent;  // outlives the gateway, which calls it
   gateway::Gateway gateway(io, config, {}, log);
-  gateway::admin::AdminService console(
+  gateway::admin::AdminService admin_service(
       state_directory(config),
       std::chrono::ceil<std::chrono::seconds>(config.module.warmup_duration),
       {[&] { return gateway.is_available(); }, [&](bool drained) { gateway.set_drained(drained); },
-       [&](const std::string& uid, bool out) { gateway.set_maintenance(uid, out); },
-       [&](bool paired) { gateway.set_has_sibling(paired); }, log});
-  gateway.on_endpoint_listed([&](const std::string& uid) { console.on_endpoint_listed(uid); });
-  gateway::admin::AdminStatePoller watch(io, console);
+       [&](const std::string& uid, bool in_maintenance) {
+         gateway.set_maintenance(uid, in_maintenance);
+       },
+       [&](bool has_sibling) { gateway.set_has_sibling(has_sibling); }, log});
+  gateway.on_endpoint_listed(
+      [&](const std::string& uid) { admin_service.on_endpoint_listed(uid); });
+  gateway::admin::AdminStatePoller admin_state_poller(io, admin_service);
   if (fleet_config) {
     join_fleet(io, gateway, agent, std::move(*fleet_config));
   }
-  std::optional<gateway::admin::AdminServer> admin;
+  std::optional<gateway::admin::AdminServer> admin_server;
   if (config.admin) {
-    admin.emplace(io, *config.admin, gateway::admin::AdminServer::Limits{},
-                  [&](const gateway::admin::AdminCall& call) {
-                    if (agent && call.path == "/fleet" && call.method == "GET") {
-                      return gateway::admin::AdminReply{200, agent->status_json(), {}};
-                    }
-                    return console.handle(call);
-                  });
+    admin_server.emplace(io, *config.admin, gateway::admin::AdminServer::Limits{},
+                         [&](const gateway::admin::AdminCall& call) {
+                           if (agent && call.path == "/fleet" && call.method == "GET") {
+                             return gateway::admin::AdminReply{200, agent->status_json(), {}};
+                           }
+                           return admin_service.handle(call);
+                         });
   }
-  stops.async_wait([&](boost::system::error_code ec, int) {
+  stop_signals.async_wait([&](boost::system::error_code ec, int) {
     if (ec) {
       return;
     }
@@ -121,7 +133,7 @@
       io.stop();
     });
   });
-  reload_at_each_hangup(hangups, gateway);
+  reload_on_hangup(hangup_signals, gateway);
   io.run();
   return 0;
 }
@@ -129,17 +141,17 @@
 }  // namespace
 
 int main() {
-  std::signal(SIGPIPE, SIG_IGN);  // a peer that left shows as an error of the write
+  std::signal(SIGPIPE, SIG_IGN);  // a write to a closed connection returns an error instead
   try {
     return serve();
-  } catch (const gateway::config::ConfigError& bad) {
-    std::cerr << "gateway: " << bad.what() << '\n';
+  } catch (const gateway::config::ConfigError& error) {
+    std::cerr << "gateway: " << error.what() << '\n';
     return kBadConfig;
-  } catch (const gateway::fleet_agent::OperatorFileError& bad) {
-    std::cerr << "gateway: " << bad.what() << '\n';
+  } catch (const gateway::fleet_agent::OperatorFileError& error) {
+    std::cerr << "gateway: " << error.what() << '\n';
     return kBadConfig;
-  } catch (const std::exception& bad) {
-    std::cerr << "gateway: " << bad.what() << '\n';
+  } catch (const std::exception& error) {
+    std::cerr << "gateway: " << error.what() << '\n';
     return kFailed;
   }
 }
--- a/src/gateway/proxied_request.hpp
+++ b/src/gateway/proxied_request.hpp
@@ -1,4 +1,5 @@
-// A client's request while the gateway proxies it.
+/// @file
+/// The state of a client's request in the gateway.
 #pragma once
 
 #include <cstdint>
@@ -10,15 +11,16 @@
 
 namespace gateway {
 
-// Kept until the client is answered (or has disconnected) and no attempt is active.
+/// Kept until the request has ended and none of its attempts is in flight.
 struct ProxiedRequest {
-  http::ExchangeId client = 0;
+  http::ExchangeId exchange = 0;
   http::HttpRequest message;
-  std::shared_ptr<http::BodyStream> body;  // null: the message holds the complete body
-  std::string request_id;                  // the client's X-Request-Id
-  std::uint32_t begun = 0;                 // attempts that the balancer has ordered
-  std::uint32_t out = 0;                   // of these, attempts that are not finished
-  bool ended = false;                      // answered, or the client has disconnected
+  std::shared_ptr<http::BodyStream> body;  ///< Null: the message contains the complete body.
+  std::string request_id;                  ///< The client's X-Request-Id.
+  std::uint32_t attempts_ordered = 0;      ///< By the balancer, including those not sent.
+  std::uint32_t attempts_in_flight =
+      0;               ///< Ordered, without a completion reported to the balancer.
+  bool ended = false;  ///< A response was passed on, or the client has disconnected.
 };
 
 }  // namespace gateway
--- a/src/gateway/request_mapping.cpp
+++ b/src/gateway/request_mapping.cpp
@@ -24,13 +24,14 @@
 constexpr std::string_view kKeyCookie = "obj";
 constexpr int kKeyBase = 16;
 
+// Returns false unless all of `text` is one number in the range of the type.
 template <class Number>
 bool parse_number(string_view text, Number& number) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
   return error == std::errc{} && end == text.data() + text.size();
 }
 
-// "checkout" of "/checkout/7?x=1".
+// The name of the request's class: "checkout" of "/checkout/7?x=1". Empty if there is none.
 std::string_view first_path_segment(string_view target) {
   std::string_view path(target.data(), target.size());
   if (path.empty() || path.front() != '/') {
@@ -40,7 +41,7 @@
   return path.substr(0, path.find_first_of("/?"));
 }
 
-// The value of one cookie, or an empty text.
+// The value of a cookie in a Cookie header, or an empty text.
 std::string_view cookie_value(string_view header, std::string_view name) {
   std::string_view remaining(header.data(), header.size());
   while (!remaining.empty()) {
@@ -56,7 +57,7 @@
   return {};
 }
 
-// The value as a hexadecimal number, or the hash of another text.
+// The text as a hexadecimal number if it is one, else its hash.
 std::uint64_t key_of(std::string_view text) {
   std::uint64_t key = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), key, kKeyBase);
@@ -64,15 +65,16 @@
   return is_number ? key : std::hash<std::string_view>{}(text);
 }
 
-// A host may use the other one of two values.
+// With two values of a field, the gateway and the host could use different ones.
 bool has_repeated_field(const http::HttpRequest& message) {
   constexpr std::array kFields = {"X-Request-Id", "X-Class", "X-Deadline-Ms", "Idempotency-Key"};
   return std::any_of(kFields.begin(), kFields.end(),
                      [&](const char* field) { return message.count(field) > 1; });
 }
 
-// Hosts infer the class's idempotency from the method. Hosts do not deduplicate a request without a
-// key, so it is not accepted for a deduplicated class. HEAD is as safe as GET.
+// Hosts infer the idempotency of a request from its method, so the method must match the class: GET
+// or HEAD, which is as safe, for an idempotent class, and POST for the others. Hosts deduplicate
+// only requests with a key, so a deduplicated class requires one.
 status check_method(const http::HttpRequest& message, Idempotency idempotency) {
   const bool is_read =
       message.method() == beast_http::verb::get || message.method() == beast_http::verb::head;
@@ -99,12 +101,12 @@
 }
 
 template <class Message>
-void remove_fields_of_connection(Message& message) {
-  std::vector<std::string> listed;
+void remove_connection_fields(Message& message) {
+  std::vector<std::string> connection_options;
   for (const auto& token : beast_http::token_list(message[beast_http::field::connection])) {
-    listed.push_back(token.to_string());
+    connection_options.push_back(token.to_string());
   }
-  for (const std::string& name : listed) {
+  for (const std::string& name : connection_options) {
     message.erase(name);
   }
   for (const beast_http::field field :
@@ -130,16 +132,16 @@
 }
 
 RequestMapper::Result RequestMapper::map(const http::HttpRequest& message) const {
-  const auto found = classes_.find(std::string(first_path_segment(message.target())));
-  if (found == classes_.end()) {
+  const auto class_entry = classes_.find(std::string(first_path_segment(message.target())));
+  if (class_entry == classes_.end()) {
     return status::not_found;
   }
-  const ClassSettings& request_class = found->second.settings;
+  const ClassSettings& request_class = class_entry->second.settings;
   if (const status error = check_fields(message, request_class); error != status::ok) {
     return error;
   }
   load_balancer::Request request;
-  request.class_index = found->second.index;
+  request.class_index = class_entry->second.index;
   request.time_remaining = request_class.client_timeout;
   if (message.count("X-Deadline-Ms")) {
     std::uint32_t ms = 0;
@@ -165,11 +167,11 @@
 }
 
 void remove_hop_by_hop_fields(http::HttpRequest& message) {
-  remove_fields_of_connection(message);
+  remove_connection_fields(message);
 }
 
 void remove_hop_by_hop_fields(http::HttpResponse& message) {
-  remove_fields_of_connection(message);
+  remove_connection_fields(message);
 }
 
 }  // namespace gateway
--- a/src/gateway/request_mapping.hpp
+++ b/src/gateway/request_mapping.hpp
@@ -1,5 +1,6 @@
-// Maps a client's HTTP request to the balancer's request, by the protocol between clients and
-// hosts.
+/// @file
+/// Maps a client's HTTP request to the balancer's request, by the protocol between clients and
+/// hosts.
 #pragma once
 
 #include <boost/beast/http/status.hpp>
@@ -13,11 +14,12 @@
 
 namespace gateway {
 
+/// Immutable: contains the classes and tenants of the settings.
 class RequestMapper {
  public:
   explicit RequestMapper(const load_balancer::Settings& settings);
 
-  // The balancer's request without an id, or the status to answer an invalid request with.
+  /// The balancer's request without an id, or the status of the response to an invalid request.
   using Result = std::variant<load_balancer::Request, boost::beast::http::status>;
   Result map(const http::HttpRequest& message) const;
 
@@ -31,7 +33,7 @@
   std::unordered_map<std::string, std::uint32_t> tenants_;
 };
 
-// Removes the fields that concern a single connection only (RFC 9110, 7.6.1).
+/// Removes the header fields that concern a single connection only (RFC 9110, 7.6.1).
 void remove_hop_by_hop_fields(http::HttpRequest& message);
 void remove_hop_by_hop_fields(http::HttpResponse& message);
 
--- a/src/gateway/resource_limits.cpp
+++ b/src/gateway/resource_limits.cpp
@@ -5,21 +5,23 @@
 namespace gateway {
 namespace {
 
-// The divisor of the memory for bodies: each may be buffered three times, with its response beside.
+// Divides the memory into parts, of which buffered bodies get one: a body may be buffered three
+// times, and its response needs memory as well.
 constexpr std::size_t kBodyMemoryDivisor = 8;
-// Clients use a third of the descriptors at most for requests. Three quarters of that third may be
-// kept by connections that have sent a request; a quarter is free for new ones.
+// Client connections that carry requests use at most a third of the descriptors. Connections that
+// have sent a request may keep three quarters of that third; a quarter stays free for new ones.
 constexpr std::size_t kClientDivisor = 3;
-constexpr std::size_t kReusedNumerator = 3;
-constexpr std::size_t kReusedDenominator = 4;
-// A sole process divides its descriptors in fifths, of which clients get three and hosts two.
+constexpr std::size_t kReusedConnectionsNumerator = 3;
+constexpr std::size_t kReusedConnectionsDenominator = 4;
+// A sole process divides its descriptors, without the reserved ones, into fifths: three for
+// connections to clients, two for connections to hosts.
 constexpr std::size_t kClientFifths = 3;
 constexpr std::size_t kUpstreamFifths = 2;
-// Descriptors for the listener, discovery, operators' calls, the event loop, the standard streams
-// and the libraries.
+// Descriptors for the listening socket, discovery, operators' calls, the event loop, the standard
+// streams and the libraries.
 constexpr std::size_t kReservedDescriptors = 32;
-// Connections beyond the clients' while there are two processes.
-constexpr std::size_t kExtraClients = 8;
+// Client connections that each of two processes may have beyond the third.
+constexpr std::size_t kExtraClientConnections = 8;
 
 std::size_t fifths_of_descriptors(const config::Config& config, std::size_t fifths) {
   return (config.sockets - kReservedDescriptors) * fifths / 5;
@@ -27,8 +29,8 @@
 
 }  // namespace
 
-// Clients may connect to either of two processes, so their third is not divided; the hosts'
-// remainder is.
+// All clients may connect to the same one of two processes, so the clients' third is not divided
+// between them. The remainder, for the hosts, is.
 http::UpstreamPool::Limits upstream_limits(const config::Config& config, ProcessRole role) {
   std::size_t connections = fifths_of_descriptors(config, kUpstreamFifths);
   if (role == ProcessRole::one_of_two) {
@@ -40,13 +42,14 @@
 
 http::ClientListener::Limits client_limits(const config::Config& config,
                                            http::ClientListener::Limits limits, ProcessRole role) {
-  const std::size_t third = config.sockets / kClientDivisor;
+  const std::size_t client_third = config.sockets / kClientDivisor;
   const std::size_t connections = role == ProcessRole::one_of_two
-                                      ? third + kExtraClients
+                                      ? client_third + kExtraClientConnections
                                       : fifths_of_descriptors(config, kClientFifths);
   limits.connections = std::min(limits.connections, connections);
   limits.reused_connections =
-      std::min(limits.reused_connections, third * kReusedNumerator / kReusedDenominator);
+      std::min(limits.reused_connections,
+               client_third * kReusedConnectionsNumerator / kReusedConnectionsDenominator);
   limits.body_bytes = std::min(limits.body_bytes, body_memory(config, role));
   return limits;
 }
--- a/src/gateway/resource_limits.hpp
+++ b/src/gateway/resource_limits.hpp
@@ -1,4 +1,5 @@
-// How a gateway divides its descriptors and its memory between clients, hosts and bodies.
+/// @file
+/// How a gateway divides its file descriptors and its memory between clients, hosts and bodies.
 #pragma once
 
 #include <cstddef>
@@ -9,17 +10,18 @@
 
 namespace gateway {
 
-// During a restart two processes serve as one gateway and keep to the limits of one together.
+/// During a restart two processes serve as one gateway and together keep to the limits of one.
 enum class ProcessRole { sole, one_of_two };
 
-// Connections to hosts, with their time limits.
+/// The number of connections to hosts, with their time limits.
 http::UpstreamPool::Limits upstream_limits(const config::Config& config, ProcessRole role);
 
-// Lowers the limits in `limits` to what the configuration allows; its time limits stay.
+/// Lowers the counts in `limits` to what the configuration allows; its time limits stay.
 http::ClientListener::Limits client_limits(const config::Config& config,
                                            http::ClientListener::Limits limits, ProcessRole role);
 
-// Bytes for the bodies of requests, and likewise for all streamed bodies.
+/// Bytes for the buffered bodies of active requests; all streamed bodies together get as much
+/// again.
 std::size_t body_memory(const config::Config& config, ProcessRole role);
 
 }  // namespace gateway
--- a/src/http/body_codec.hpp
+++ b/src/http/body_codec.hpp
@@ -1,5 +1,6 @@
-// Reading bodies from a parser and serializing heads and chunks, where a message is streamed and
-// Beast's own serializers would need all of it.
+/// @file
+/// Reads bodies from a parser and serializes heads and chunks of messages that are streamed:
+/// Beast's own serializers need the complete message.
 #pragma once
 
 #include <array>
@@ -19,11 +20,11 @@
 
 namespace gateway::http {
 
-// The chunk that ends a chunked body, without trailers.
+/// The chunk that ends a chunked body, without trailers.
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
-// Moves the body bytes in `buffer` to the end of `body`. The parser must have read the head. `ec`
-// is set if the framing of the body is invalid.
+/// Moves the body bytes in `buffer` to the end of `body`. The parser must have read the head. `ec`
+/// is set if the framing of the body is invalid.
 template <bool IsRequest>
 void read_body(boost::beast::http::parser<IsRequest, boost::beast::http::buffer_body>& parser,
                boost::beast::flat_buffer& buffer, std::string& body,
@@ -31,7 +32,7 @@
   namespace beast_http = boost::beast::http;
   parser.eager(true);
   while (buffer.size() > 0 && !parser.is_done()) {
-    // One byte more than the input, so that the parser never waits for capacity.
+    // One byte more than the input, so that the parser never runs out of capacity.
     const std::size_t previous_size = body.size();
     const std::size_t capacity = buffer.size() + 1;
     body.resize(previous_size + capacity);
@@ -39,12 +40,12 @@
     output.data = &body[previous_size];
     output.size = capacity;
     output.more = true;
-    const std::size_t used = parser.put(buffer.data(), ec);
+    const std::size_t parsed_bytes = parser.put(buffer.data(), ec);
     body.resize(previous_size + (capacity - output.size));
-    buffer.consume(used);
+    buffer.consume(parsed_bytes);
     if (ec == beast_http::error::need_more || ec == beast_http::error::need_buffer) {
       ec = {};
-      if (used == 0) {
+      if (parsed_bytes == 0) {
         return;
       }
     }
@@ -54,7 +55,7 @@
   }
 }
 
-// The start line and the fields, with the empty line that ends them.
+/// The start line and the fields, with the empty line that ends them.
 template <bool IsRequest, class Body>
 std::string serialize_head(const boost::beast::http::message<IsRequest, Body>& message) {
   std::ostringstream text;
@@ -62,15 +63,15 @@
   return text.str();
 }
 
-// `bytes` as one chunk of a chunked body; must not be empty, as that would end the body.
+/// `bytes` as one chunk of a chunked body. Must not be empty: an empty chunk ends the body.
 inline std::string encode_chunk(const std::string& bytes) {
   std::array<char, 24> size{};
   std::snprintf(size.data(), size.size(), "%zx\r\n", bytes.size());
   return size.data() + bytes + "\r\n";
 }
 
-// Bounds the system's buffers of a socket with a streamed body. Without this the system buffers
-// megabytes for a slow peer, which delays backpressure.
+/// Bounds the system's buffers of a socket with a streamed body. By default the system buffers
+/// megabytes for a slow peer, which delays backpressure.
 inline void limit_socket_buffers(boost::asio::ip::tcp::socket& socket) {
   constexpr int kBytes = 128 << 10;
   boost::system::error_code ignored;
--- a/src/http/client_listener.cpp
+++ b/src/http/client_listener.cpp
@@ -19,39 +19,39 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// Interval at which sessions are checked against their time limits.
+// Interval at which sessions are checked against their time limits and for disconnected clients.
 constexpr auto kSweepInterval = std::chrono::milliseconds(100);
-// How long a client may take to close its side after the last response.
+// Time that a client may take to close its side after the last response.
 constexpr auto kLingerTimeout = std::chrono::milliseconds(500);
 // Pause before the next accept when there was no capacity or no descriptor.
 constexpr auto kAcceptRetryInterval = std::chrono::milliseconds(20);
-// Connections accepted in a row before the event loop serves the connected ones.
+// Connections accepted in a row before the event loop serves the accepted ones.
 constexpr std::size_t kAcceptBatch = 32;
-// A usual client has sent its request this long after connecting, and a younger connection is not
-// closed for another one.
+// A client usually sends its first request within this time of connecting, so a younger connection
+// is not closed in favour of another one.
 constexpr auto kFirstRequestGrace = std::chrono::milliseconds(50);
-// Sessions of one queue that are examined for one that can be closed; bounds the system calls.
+// Sessions of a queue that are examined to find one that can be closed; bounds the system calls.
 constexpr std::size_t kMaxExaminedSessions = 8;
 
 }  // namespace
 
 ClientListener::ClientListener(asio::io_context& io, const Listen& listen, Limits limits,
-                               Callbacks callbacks, std::shared_ptr<BufferBudget> buffers)
+                               Callbacks callbacks, std::shared_ptr<BufferBudget> buffer_budget)
     : io_(io),
       acceptor_(open(io, listen)),
       sweep_timer_(io),
       accept_retry_timer_(io),
-      passed_(listen.passed.has_value()) {
+      is_passed_socket_(listen.passed.has_value()) {
   sessions_.limits = limits;
   sessions_.callbacks = std::move(callbacks);
-  sessions_.buffers = std::move(buffers);
+  sessions_.buffer_budget = std::move(buffer_budget);
   sessions_.on_session_closed = [this] {
     on_session_closed();
   };
   sessions_.on_first_request = [this] {
     limit_reused_connections();
   };
-  if (!passed_) {
+  if (!is_passed_socket_) {
     start_accepting();
   }
   sweep();
@@ -108,7 +108,7 @@
   session->respond(std::move(response), std::move(stream));
 }
 
-bool ClientListener::left(ExchangeId exchange) {
+bool ClientListener::close_if_disconnected(ExchangeId exchange) {
   const auto pending = sessions_.pending_exchanges.find(exchange);
   if (pending == sessions_.pending_exchanges.end()) {
     return true;
@@ -129,8 +129,8 @@
     if (accept_waiting(kAcceptBatch) != AcceptResult::no_capacity) {
       return accept();
     }
-    // Without a free descriptor the listener stays readable, and without a pause the loop would
-    // spin.
+    // While nothing can be accepted, the listening socket stays readable: without a pause the event
+    // loop would spin.
     accept_retry_timer_.expires_after(kAcceptRetryInterval);
     accept_retry_timer_.async_wait([this](error_code wait_error) {
       if (!wait_error && acceptor_.is_open() && !stopping_) {
@@ -140,12 +140,13 @@
   });
 }
 
-// At the limit an idle connection is closed only after a new one has been accepted, so that no
-// client is disconnected needlessly. The limit may therefore be exceeded by one.
+// Accepts the connections that wait. At the limit another connection is closed only after a new one
+// has been accepted, so that no client is disconnected needlessly; the limit may therefore be
+// exceeded by one.
 ClientListener::AcceptResult ClientListener::accept_waiting(std::size_t max_connections) {
   error_code ignored;
-  // The flag belongs to the socket, which other processes may share; if one of them cleared it, an
-  // accept without a waiting connection would block the event loop.
+  // The non-blocking flag belongs to the socket, which other processes may share. If one of them
+  // cleared it, an accept without a waiting connection would block the event loop.
   acceptor_.non_blocking(true, ignored);
   for (std::size_t i = 0; i < max_connections; ++i) {
     if (sessions_.open_sessions > sessions_.limits.connections && !make_room()) {
@@ -184,11 +185,12 @@
   queue.back()->start(std::prev(queue.end()));
 }
 
-// Closes one connection: preferably one that got its last response, then one that has connected
-// without sending anything, then one between two requests, and last one whose first request is
-// incomplete, as that request is lost. Hundreds of clients that connect and send nothing must not
-// displace all idle ones: with that many, new connections wait until the time limit of the silent
-// ones expires.
+// Closes one connection, in this order of preference: one that got its last response, one that has
+// sent nothing since it connected, one that is idle between two requests, one whose first request
+// is incomplete (that request is lost). While more than half of the allowed connections wait for
+// their first request, no idle one is closed: hundreds of clients that connect and send nothing
+// would displace all of these. New connections then wait until the time limit of those clients
+// expires.
 bool ClientListener::make_room() {
   const auto now = Clock::now();
   if (close_oldest(SessionState::lingering, now - kFirstRequestGrace) ||
@@ -204,11 +206,11 @@
                       Eligible::also_incomplete_request);
 }
 
-// A proxy before this gateway has a connection limit of its own, and rejects clients above it
-// without the gateway's knowledge: clients that send one request and keep their connection would
-// block all others. So capacity is freed in advance by closing the connection that is idle longest,
-// which also guards against clients that never close. The cost falls on many clients that each send
-// seldom: they reconnect, and one that sends at this very moment has to retry.
+// Closes the connection that is idle longest if too many connections have sent a request. A proxy
+// before this gateway has a connection limit of its own, above which it rejects clients without the
+// gateway's knowledge: clients that send one request and keep their connection would block all
+// others, so capacity is freed in advance. The cost is that clients that send seldom have to
+// reconnect, and a client that sends at the moment of the close has to retry.
 void ClientListener::limit_reused_connections() {
   std::size_t reused = 0;
   for (const SessionState state :
@@ -227,13 +229,13 @@
   }
 }
 
-// The first closable one among the oldest sessions of a queue, or null.
+// The first session that can be closed among the oldest kMaxExaminedSessions of a queue, or null.
 ClientSession* ClientListener::oldest_closable(SessionState state,
                                                Clock::time_point last_progress_before,
                                                Eligible eligible) {
   std::size_t examined = 0;
   for (const auto& session : sessions_.queue(state)) {
-    if (session->since() > last_progress_before || ++examined > kMaxExaminedSessions) {
+    if (session->last_progress_at() > last_progress_before || ++examined > kMaxExaminedSessions) {
       return nullptr;
     }
     if (state == SessionState::lingering || session->has_no_input() ||
@@ -253,7 +255,8 @@
   return oldest != nullptr;
 }
 
-// Sessions that are not waiting for input would not notice that their client disconnects.
+// Closes the sessions of disconnected clients that would not detect this themselves, as they do not
+// wait for input.
 void ClientListener::close_disconnected() {
   std::vector<std::shared_ptr<ClientSession>> disconnected;
   for (const SessionState state : {SessionState::receiving_body, SessionState::awaiting_response,
@@ -289,14 +292,14 @@
 }
 
 void ClientListener::close_idle_before(Clock::time_point last_progress_before) {
-  // The request of a connection that was accepted just now is on its way.
+  // The first request of a connection that was just accepted is probably on its way.
   const auto connected_before = std::min(last_progress_before, Clock::now() - kFirstRequestGrace);
   for (const auto& [state, before] : {std::pair{SessionState::awaiting_request, connected_before},
                                       std::pair{SessionState::idle, last_progress_before}}) {
     const SessionQueue& queue = sessions_.queue(state);
     const std::vector<std::shared_ptr<ClientSession>> all(queue.begin(), queue.end());
     for (const auto& session : all) {
-      if (session->since() <= before && session->has_no_input()) {
+      if (session->last_progress_at() <= before && session->has_no_input()) {
         session->close_gracefully();
       }
     }
@@ -304,11 +307,12 @@
 }
 
 void ClientListener::stop_accepting(std::chrono::milliseconds time_limit) {
-  // A pending turn of the accept loop would take over the timer that is started here.
+  // Ends the accept loop, which would otherwise restart the timer that is started here.
   stopping_ = true;
-  // Connections that wait to be accepted may have received requests already; closing the listener
-  // would reset them.
-  if (!passed_ && accept_waiting(sessions_.limits.connections) != AcceptResult::queue_empty &&
+  // Connections that wait to be accepted may have received requests already; closing the listening
+  // socket would reset them.
+  if (!is_passed_socket_ &&
+      accept_waiting(sessions_.limits.connections) != AcceptResult::queue_empty &&
       time_limit > kAcceptRetryInterval) {
     close_idle_before(Clock::now());
     accept_retry_timer_.expires_after(kAcceptRetryInterval);
@@ -322,7 +326,7 @@
   error_code ignored;
   acceptor_.close(ignored);
   accept_retry_timer_.cancel();
-  if (!passed_) {
+  if (!is_passed_socket_) {
     close_idle_before(Clock::now());
   }
   if (sessions_.open_sessions == 0 && on_empty) {
@@ -337,8 +341,8 @@
   expire_sessions(SessionState::reading_head, limits.request_timeout, now);
   expire_sessions(SessionState::receiving_body, limits.request_timeout, now);
   expire_sessions(SessionState::idle, limits.idle_timeout, now);
-  expire_sessions(SessionState::writing_response, 2 * limits.request_timeout,
-                  now);  // client does not read
+  // The client does not read its response.
+  expire_sessions(SessionState::writing_response, 2 * limits.request_timeout, now);
   expire_sessions(SessionState::streaming_response, limits.response_stall_timeout, now);
   expire_sessions(SessionState::lingering, kLingerTimeout, now);
   close_disconnected();
@@ -356,17 +360,17 @@
 void ClientListener::expire_sessions(SessionState state, std::chrono::milliseconds time_limit,
                                      Clock::time_point now) {
   const SessionQueue& queue = sessions_.queue(state);
-  while (!queue.empty() && now - queue.front()->since() > time_limit) {
+  while (!queue.empty() && now - queue.front()->last_progress_at() > time_limit) {
     const auto session = queue.front();
-    if (session->blocked()) {
+    if (session->waits_for_upstream()) {
       session->record_progress();
       continue;
     }
-    // The last byte may have arrived just now, and then a response is due.
+    // Unread input may complete the request, which then gets a response.
     if (session->has_unread_input() && state != SessionState::streaming_response) {
       session->read_available();
     }
-    if (session->state() == state && now - session->since() > time_limit) {
+    if (session->state() == state && now - session->last_progress_at() > time_limit) {
       session->expire();
     }
   }
--- a/src/http/client_listener.hpp
+++ b/src/http/client_listener.hpp
@@ -1,5 +1,6 @@
-// Accepts the clients' connections and enforces their limits. A ClientSession serves each of them.
-// All functions run on the event loop's thread.
+/// @file
+/// The clients' side of the gateway: accepts connections and enforces their limits. A ClientSession
+/// serves each of them.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,6 +17,8 @@
 
 namespace gateway::http {
 
+/// Used on the event loop's thread only; callbacks run on it too. The io_context must outlive the
+/// listener.
 class ClientListener {
  public:
   using Limits = ClientLimits;
@@ -23,49 +26,52 @@
 
   struct Listen {
     boost::asio::ip::tcp::endpoint address;
-    // Descriptor of a listening socket that other processes share: it is neither bound nor shut
-    // down here, only this copy is closed.
+    /// Descriptor of a listening socket that other processes share. It is neither bound nor shut
+    /// down here; only this process's descriptor is closed.
     std::optional<int> passed;
   };
 
-  // Binds and listens at once, or takes over the passed socket. Throws boost::system::system_error,
-  // or std::invalid_argument if the passed descriptor is no listening socket.
+  /// Binds and listens at once, or uses the passed socket. Throws boost::system::system_error, or
+  /// std::invalid_argument if the passed descriptor is no listening socket.
   ClientListener(boost::asio::io_context& io, const Listen& listen, Limits limits,
                  Callbacks callbacks,
-                 std::shared_ptr<BufferBudget> buffers = std::make_shared<BufferBudget>());
+                 std::shared_ptr<BufferBudget> buffer_budget = std::make_shared<BufferBudget>());
   ~ClientListener();
   ClientListener(const ClientListener&) = delete;
   ClientListener& operator=(const ClientListener&) = delete;
 
+  /// Address of the listening socket.
   boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
   void set_limits(const Limits& limits) { sessions_.limits = limits; }
-  // With a `stream` the body comes from there, and the response has none. Without effect if the
-  // client has disconnected.
+  /// Sends the response of an exchange. With a `stream` the body comes from there, and `response`
+  /// has none. Without effect, other than to drop the stream, if the client has disconnected.
   void respond(ExchangeId exchange, HttpResponse response,
                std::shared_ptr<BodyStream> stream = nullptr);
-  // Checks the socket of an open exchange now. Returns true if its client has disconnected; the
-  // callback client_disconnected has been called then.
-  bool left(ExchangeId exchange);
-  // For a passed socket; one that is bound here accepts from the start.
+  /// Checks the socket of an exchange now. Returns true if its client has disconnected: the session
+  /// is then closed and client_disconnected has been called.
+  bool close_if_disconnected(ExchangeId exchange);
+  /// Begins to accept connections at a passed socket; one that is bound here accepts from the
+  /// start.
   void start_accepting();
   bool accepting() const { return accepting_ && acceptor_.is_open(); }
-  // While enabled, every response closes its connection, and idle connections are closed: after
-  // kCloseIdleAfter those idle for longest, after kCloseAllIdleAfter all. A connection with a
-  // request on its way is not closed.
+  /// While enabled, every response closes its connection, and idle connections are closed: first
+  /// those idle for kCloseIdleAfter, and all of them once kCloseAllIdleAfter has passed. A
+  /// connection with unread input is not closed.
   void close_idle(bool enabled);
-  // Closes the listener. One that is bound here first accepts the connections that are waiting, for
-  // up to `time_limit` if there is no capacity, and closes idle connections. The connections
-  // waiting at a passed socket belong to another process.
+  /// Closes the listening socket; can't be undone. If it is bound here, the connections that wait
+  /// are accepted first, for up to `time_limit` if there is no capacity, and idle connections are
+  /// closed. Those that wait at a passed socket are left to the processes that share it.
   void stop_accepting(std::chrono::milliseconds time_limit = std::chrono::milliseconds(1000));
+  /// Number of open connections.
   std::size_t connections() const { return sessions_.open_sessions; }
 
-  // Called once the last connection is closed after stop_accepting().
+  /// Called once after stop_accepting(), when no connection is open any more.
   std::function<void()> on_empty;
 
  private:
   using Clock = std::chrono::steady_clock;
   enum class AcceptResult { queue_empty, more_may_wait, no_capacity };
-  // Which sessions may be closed for a new connection.
+  // Which sessions may be closed in favour of a new connection.
   enum class Eligible { without_input, also_incomplete_request };
 
   static boost::asio::ip::tcp::acceptor open(boost::asio::io_context& io, const Listen& listen);
@@ -90,7 +96,7 @@
   SessionRegistry sessions_;
   boost::asio::steady_timer sweep_timer_;
   boost::asio::steady_timer accept_retry_timer_;
-  bool passed_ = false;
+  bool is_passed_socket_ = false;
   bool accepting_ = false;
   bool stopping_ = false;
 };
--- a/src/http/client_session.cpp
+++ b/src/http/client_session.cpp
@@ -1,4 +1,5 @@
-// Life cycle of a client connection: states, reading from the socket, closing.
+/// @file
+/// Life cycle of a client connection: states, reading from the socket, closing.
 #include "http/client_session.hpp"
 
 #include <poll.h>
@@ -16,8 +17,7 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-// Of what a client sends after its last response, so many bytes are read before the connection is
-// closed.
+// Bytes that a client may send after its last response before its connection is closed.
 constexpr std::size_t kMaxDiscardedBytes = 256 << 10;
 
 }  // namespace
@@ -27,8 +27,8 @@
   prepare_for_next_request();
 }
 
-void ClientSession::start(SessionQueue::iterator place) {
-  place_ = place;
+void ClientSession::start(SessionQueue::iterator position) {
+  queue_position_ = position;
   wait_for_input();
 }
 
@@ -38,7 +38,7 @@
   }
   const auto self = shared_from_this();
   release_reservation();
-  registry_->queue(state_).erase(place_);
+  registry_->queue(state_).erase(queue_position_);
   state_ = SessionState::closed;
   release_read_ahead();
   error_code ignored;
@@ -71,8 +71,8 @@
   close();
 }
 
-// A connection that is closed with unread bytes in it is reset, and the reset may overtake the
-// response. So our side is shut down first, and what the client sends is read, within bounds.
+// Closing a connection that has unread bytes resets it, and the client may receive the reset before
+// the response. So the sending side is shut down first, and input is discarded, within bounds.
 void ClientSession::linger() {
   enter(SessionState::lingering);
   error_code ignored;
@@ -106,7 +106,7 @@
          (descriptor.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-bool ClientSession::blocked() const {
+bool ClientSession::waits_for_upstream() const {
   return (state_ == SessionState::receiving_body && request_stream_->full()) ||
          (state_ == SessionState::streaming_response && !writing_);
 }
@@ -137,7 +137,7 @@
       discarded_bytes_ += received;
       buffer_.consume(buffer_.size());
       return discarded_bytes_ > kMaxDiscardedBytes ? close() : wait_for_input();
-    default:  // pipelined: kept until the current request is answered
+    default:  // a pipelined request: buffered until the current one has its response
       read_ahead_bytes_ += received;
       registry_->read_ahead_bytes += received;
       return read_ahead();
@@ -146,8 +146,8 @@
 
 void ClientSession::record_progress() {
   SessionQueue& queue = registry_->queue(state_);
-  queue.splice(queue.end(), queue, place_);
-  since_ = Clock::now();
+  queue.splice(queue.end(), queue, queue_position_);
+  last_progress_at_ = Clock::now();
 }
 
 void ClientSession::expire() {
@@ -162,9 +162,9 @@
 
 void ClientSession::enter(SessionState state) {
   SessionQueue& queue = registry_->queue(state);
-  queue.splice(queue.end(), registry_->queue(state_), place_);
+  queue.splice(queue.end(), registry_->queue(state_), queue_position_);
   state_ = state;
-  since_ = Clock::now();
+  last_progress_at_ = Clock::now();
   if (state == SessionState::writing_response || state == SessionState::streaming_response ||
       state == SessionState::receiving_body) {
     release_reservation();
@@ -182,8 +182,8 @@
   registry_->reserved_body_bytes -= std::exchange(reserved_body_bytes_, 0);
 }
 
-// While a response is pending or streamed, input is read within bounds, because this detects that
-// the client disconnects. Above the bounds ClientListener::close_disconnected looks for it.
+// While a response is due or streamed, input is read, within bounds, as this detects that the
+// client disconnects. Above the bounds ClientListener::close_disconnected checks for it.
 void ClientSession::read_ahead() {
   if (buffer_.size() + kReadChunk <= buffer_.max_size() &&
       registry_->read_ahead_bytes < registry_->limits.body_bytes) {
@@ -191,8 +191,8 @@
   }
 }
 
-// A request that has been read already would be lost if its connection were closed, so requests in
-// the buffer are answered first, for as long as idle connections are kept.
+// Closing a connection would lose the requests in its buffer, so these get their responses first,
+// until kCloseAllIdleAfter has passed.
 bool ClientSession::must_close_after_response() const {
   const auto since = registry_->closing_idle_since;
   return since && (buffer_.size() == 0 || Clock::now() - *since > kCloseAllIdleAfter);
--- a/src/http/client_session.hpp
+++ b/src/http/client_session.hpp
@@ -1,5 +1,6 @@
-// One client connection: reads requests, writes responses, and detects that the client has
-// disconnected. All functions run on the event loop's thread.
+/// @file
+/// One client connection: reads requests, writes responses, and detects that the client has
+/// disconnected.
 #pragma once
 
 #include <array>
@@ -26,111 +27,130 @@
 
 class ClientSession;
 
-// One request of a client together with its response; an id is never reused.
+/// Identifies one request of a client together with its response; never reused by a listener.
 using ExchangeId = std::uint64_t;
 
+/// A request whose body is complete or streamed.
 struct ClientRequest {
   ExchangeId exchange = 0;
   HttpRequest message;
-  std::shared_ptr<BodyStream> body;  // null: the message holds the complete body
+  std::shared_ptr<BodyStream> body;  ///< Null: the message contains the complete body.
 };
 
+/// Limits of the connections of one listener.
 struct ClientLimits {
   std::size_t connections = 640;
-  // Connections that have sent a request; above it the one that is idle longest is closed.
+  /// Connections that have sent a request; above this the one that is idle longest is closed.
   std::size_t reused_connections = 640;
-  std::size_t body_bytes = 16 << 20;  // buffered of all active requests together
-  // From the first byte of a head to its end, from connecting to the end of the first head, and
-  // within a body without progress: a client that sends nothing or an incomplete request gets a
-  // response or a close within three seconds.
+  std::size_t body_bytes = 16 << 20;  ///< Buffered bodies of all active requests together.
+  /// From connecting to the end of the first head, from the first byte of another head to its end,
+  /// and between two parts of a body. A client that sends nothing or an incomplete request gets a
+  /// response, or its connection is closed, within 3 s.
   std::chrono::milliseconds request_timeout{2500};
-  std::chrono::milliseconds idle_timeout{15000};  // between two requests
-  std::chrono::milliseconds response_stall_timeout{
-      15000};  // without progress in writing a streamed response
+  std::chrono::milliseconds idle_timeout{15000};  ///< Between two requests.
+  /// Without progress in writing a streamed response.
+  std::chrono::milliseconds response_stall_timeout{15000};
 };
 
+/// Called on the event loop's thread. All must be set.
 struct ClientCallbacks {
-  std::function<void(ClientRequest)> request;  // to be answered by respond(), now or later
+  /// A request was received; respond() must be called for it, now or later.
+  std::function<void(ClientRequest)> request;
+  /// The streamed body of a request is complete.
   std::function<void(ExchangeId)> body_complete;
-  std::function<void(ExchangeId)> client_disconnected;  // no response is wanted any more
+  /// The client has disconnected or has sent an invalid streamed body: respond() has no effect.
+  std::function<void(ExchangeId)> client_disconnected;
 };
 
+/// The sessions of each state but `closed` are in a queue. All states but `awaiting_response` and
+/// `closed` have a time limit.
 enum class SessionState {
-  awaiting_request,    // connected; the first request is not complete
-  idle,                // between two requests
-  reading_head,        // of a further request, and the body as long as it is buffered
-  receiving_body,      // passed to a BodyStream as it arrives
-  awaiting_response,   // the request is complete
-  writing_response,    // a complete one
-  streaming_response,  // its body comes from a BodyStream
-  lingering,           // our side is shut down; what the client still sends is discarded
+  awaiting_request,    ///< Connected; the first request is incomplete and not streamed.
+  idle,                ///< Between two requests.
+  reading_head,        ///< Of a later request, with its body as long as it is buffered.
+  receiving_body,      ///< Passed to a BodyStream as it arrives.
+  awaiting_response,   ///< The request is complete.
+  writing_response,    ///< Its body is complete.
+  streaming_response,  ///< Its body comes from a BodyStream.
+  lingering,           ///< The gateway's side is shut down; further input is discarded.
   closed
 };
 inline constexpr std::size_t kSessionStates = 9;
 
-// Sessions in order of their last progress: the front is the first to exceed its time limit.
+/// Sessions in the order of their last progress: the front is the first to exceed its time limit.
 using SessionQueue = std::list<std::shared_ptr<ClientSession>>;
 
-// What the sessions of one listener share. Owned by the listener, which closes all sessions before
-// it is destroyed.
+/// The state that the sessions of one listener share. Owned by the listener, which closes all
+/// sessions before it is destroyed.
 struct SessionRegistry {
   SessionQueue& queue(SessionState state) { return queues[static_cast<std::size_t>(state)]; }
 
   ClientLimits limits;
   ClientCallbacks callbacks;
-  std::shared_ptr<BufferBudget> buffers;
+  std::shared_ptr<BufferBudget> buffer_budget;
   std::function<void()> on_session_closed;
-  std::function<void()> on_first_request;  // a connection has sent its first complete request
+  std::function<void()> on_first_request;  ///< A connection has sent its first request.
   std::array<SessionQueue, kSessionStates> queues;
   std::unordered_map<ExchangeId, std::shared_ptr<ClientSession>> pending_exchanges;
   std::size_t open_sessions = 0;
+  /// Memory reserved for the bodies of requests until these are streamed or have a response.
   std::size_t reserved_body_bytes = 0;
-  std::size_t read_ahead_bytes = 0;  // received behind requests that are still active
+  /// Received after requests that have no complete response yet.
+  std::size_t read_ahead_bytes = 0;
   ExchangeId last_exchange = 0;
-  // Set while every response closes its connection and idle connections are closed.
+  /// When ClientListener::close_idle was enabled; empty while it is not.
   std::optional<std::chrono::steady_clock::time_point> closing_idle_since;
 };
 
-// Connections are closed once idle for this long when idle ones are to be closed, and all idle ones
-// after kCloseAllIdleAfter. A request that is on its way to a connection just closed is lost or
-// sent twice, and clients reuse the most recently used connection first.
+/// While ClientListener::close_idle is enabled, connections are closed once they are idle for this
+/// long. A request on its way to a connection that was just closed is lost or sent twice; clients
+/// reuse the most recently used connection first, so these are closed last.
 inline constexpr auto kCloseIdleAfter = std::chrono::milliseconds(400);
+/// Time from enabling close_idle until all idle connections are closed.
 inline constexpr auto kCloseAllIdleAfter = std::chrono::milliseconds(1200);
 
+/// Kept alive by its queue in the registry and by its pending operations. Used on the event loop's
+/// thread only.
 class ClientSession : public std::enable_shared_from_this<ClientSession> {
  public:
   using Clock = std::chrono::steady_clock;
 
   ClientSession(SessionRegistry& registry, boost::asio::ip::tcp::socket socket);
 
-  // Begins to read. `place` is the session's place in the queue of awaiting_request.
-  void start(SessionQueue::iterator place);
-  // Answers the current request. With a `stream` the body comes from there and `response` has none.
+  /// Begins to read. `position` is that of the session in the queue of awaiting_request.
+  void start(SessionQueue::iterator position);
+  /// Sends the response to the current request. With a `stream` the body comes from there, and
+  /// `response` has none.
   void respond(HttpResponse response, std::shared_ptr<BodyStream> stream);
-  // Closes at once. If a response is still pending, client_disconnected is called.
+  /// Closes at once. If a response is still due, client_disconnected is called.
   void close();
-  // Closes a connection without an active request from our side: the client reads the end, and what
-  // it sends at this moment is read so that the close is no reset. The client can safely repeat it.
+  /// Closes a connection without an active request: shuts down the sending side, then discards
+  /// input until the client closes, within bounds. A request that the client is just sending does
+  /// not make the close a TCP reset; it is not executed, so the client can safely repeat it. Does
+  /// nothing if a request is active.
   void close_gracefully();
-  // The same, but the descriptor is free on return.
+  /// Closes in any state, discarding only input that has arrived: the descriptor is free on return.
   void close_now();
-  // Reads what has arrived. The socket is waited for and read only when it is readable, so an idle
-  // connection has no buffer.
+  /// Reads what has arrived. Called when the socket is readable, so that an idle connection needs
+  /// no buffer.
   void read_available();
-  // Restarts the time limit of the state.
+  /// Restarts the time limit of the state.
   void record_progress();
-  // The time limit of the state is exceeded: responds 408 to an incomplete request, else closes.
+  /// Called when the time limit of the state is exceeded. Responds with 408 in reading_head and
+  /// receiving_body, where part of a request has been received, else closes the connection.
   void expire();
 
-  // Nothing of a request has been read or has arrived at the socket.
+  /// Nothing of a request has been read or has arrived at the socket.
   bool has_no_input() const;
+  /// Bytes have arrived at the socket and have not been read.
   bool has_unread_input() const;
-  // The client has closed the connection, also where unread bytes precede the end.
+  /// The client has closed the connection, even if unread bytes precede the end. Checks the socket.
   bool client_disconnected();
   bool is_waiting_for_input() const { return waiting_for_input_; }
-  // Progress depends on the upstream host and not on the client.
-  bool blocked() const;
-  Clock::time_point since() const { return since_; }
+  /// Progress depends on the host and not on the client, so the time limit does not apply.
+  bool waits_for_upstream() const;
+  /// When the state was entered, or the last progress in it.
+  Clock::time_point last_progress_at() const { return last_progress_at_; }
   SessionState state() const { return state_; }
 
  private:
@@ -175,13 +195,13 @@
   std::shared_ptr<BodyStream> response_stream_;
   std::string output_;  // being written
   SessionState state_ = SessionState::awaiting_request;
-  SessionQueue::iterator place_;
+  SessionQueue::iterator queue_position_;
   ExchangeId exchange_ = 0;
-  Clock::time_point since_ = Clock::now();  // of the state, or of the last progress in it
+  Clock::time_point last_progress_at_ = Clock::now();
   std::size_t discarded_bytes_ = 0;
-  std::size_t reserved_body_bytes_ = 0;  // its part of the registry's
-  std::size_t body_hold_limit_ = kHoldLimit;
-  std::size_t read_ahead_bytes_ = 0;  // its part of the registry's
+  std::size_t reserved_body_bytes_ = 0;                   // included in the registry's
+  std::size_t buffered_body_limit_ = kBufferedBodyLimit;  // streamed from here on
+  std::size_t read_ahead_bytes_ = 0;                      // included in the registry's
   std::uint64_t body_size_ = 0;
   bool request_started_ = false;
   bool head_complete_ = false;
--- a/src/http/client_session_request.cpp
+++ b/src/http/client_session_request.cpp
@@ -1,4 +1,5 @@
-// Reading a client's request: head, body, and the body that is streamed while it arrives.
+/// @file
+/// Reading a client's request: its head, and its body, buffered or streamed while it arrives.
 #include <algorithm>
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/core/string.hpp>
@@ -40,8 +41,8 @@
   if (body_size_ > kBodyLimit) {
     return reject(beast_http::status::payload_too_large);
   }
-  // The parser has no limit for the head of a chunk and for trailers. The buffer throws when it is
-  // full, and that would end the process.
+  // The parser does not limit the size line of a chunk and the trailers. A full buffer would throw,
+  // which would end the process.
   if (!parser_->is_done() && buffer_.size() + kReadChunk > buffer_.max_size()) {
     return reject(beast_http::status::payload_too_large);
   }
@@ -56,7 +57,7 @@
   if (parser_->is_done()) {
     return submit_request(nullptr);
   }
-  if (message_.body().size() >= body_hold_limit_) {
+  if (message_.body().size() >= buffered_body_limit_) {
     return start_streaming_request();
   }
   // Each part of a body restarts the time limit; parts of a head do not.
@@ -70,7 +71,7 @@
 bool ClientSession::parse_head() {
   const auto data = buffer_.data();
   const auto head = scanner_.scan({static_cast<const char*>(data.data()), data.size()});
-  if (head == HeadScanner::State::bad) {
+  if (head == HeadScanner::State::invalid) {
     reject(beast_http::status::bad_request);
     return false;
   }
@@ -114,17 +115,21 @@
   return true;
 }
 
+// Reserves memory for the body as far as it may be buffered.
 void ClientSession::reserve_body() {
-  std::uint64_t announced = 0;
+  std::uint64_t declared_bytes = 0;
   if (parser_->content_length()) {
-    announced = *parser_->content_length();
+    declared_bytes = *parser_->content_length();
   } else if (parser_->chunked()) {
-    announced = kHoldLimit;
+    declared_bytes = kBufferedBodyLimit;
   }
-  reserved_body_bytes_ = static_cast<std::size_t>(std::min<std::uint64_t>(announced, kHoldLimit));
+  reserved_body_bytes_ =
+      static_cast<std::size_t>(std::min<std::uint64_t>(declared_bytes, kBufferedBodyLimit));
   registry_->reserved_body_bytes += reserved_body_bytes_;
-  // Without free memory a body is streamed from its first byte, and can then not be retried.
-  body_hold_limit_ = registry_->reserved_body_bytes > registry_->limits.body_bytes ? 1 : kHoldLimit;
+  // Without free memory the body is streamed from its first byte on, and the request can't be
+  // retried once part of the body has been sent.
+  buffered_body_limit_ =
+      registry_->reserved_body_bytes > registry_->limits.body_bytes ? 1 : kBufferedBodyLimit;
 }
 
 // Returns false if the request was rejected.
@@ -139,8 +144,8 @@
   if (parser_->is_done() || buffer_.size() > 0) {
     return true;
   }
-  // A few bytes on a connection with no other output; a client that does not get them sends its
-  // body after a timeout of its own.
+  // There is no other output, so these few bytes are written at once. If they are lost, the client
+  // sends its body after a timeout of its own.
   static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
   error_code ignored;
   socket_.write_some(asio::buffer(kContinue.data(), kContinue.size()), ignored);
@@ -163,11 +168,12 @@
   registry_->callbacks.request(std::move(request));
 }
 
-// From here on the body is forwarded as it arrives, and buffered only as far as its reader lags.
+// Submits the request before its body is complete. The body is forwarded as it arrives; only what
+// its reader has not taken yet is buffered.
 void ClientSession::start_streaming_request() {
   enter(SessionState::receiving_body);
   limit_socket_buffers(socket_);
-  request_stream_ = std::make_shared<BodyStream>(registry_->buffers);
+  request_stream_ = std::make_shared<BodyStream>(registry_->buffer_budget);
   request_stream_->push(std::exchange(message_.body(), {}));
   const std::weak_ptr<ClientSession> weak = weak_from_this();
   request_stream_->on_writable = [weak] {
--- a/src/http/client_session_response.cpp
+++ b/src/http/client_session_response.cpp
@@ -1,4 +1,5 @@
-// Writing a response to a client: complete, or streamed while its body arrives.
+/// @file
+/// Writing a response to a client: complete, or streamed while its body arrives.
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/http/status.hpp>
@@ -15,7 +16,7 @@
 using boost::system::error_code;
 
 void ClientSession::respond(HttpResponse response, std::shared_ptr<BodyStream> stream) {
-  // The unread rest of a body would be parsed as the next request, so the connection is closed.
+  // The connection is closed if part of the body is unread, as it would be parsed as a request.
   const bool has_unread_body = state_ == SessionState::receiving_body;
   if (const auto body = std::exchange(request_stream_, nullptr)) {
     body->abort();
@@ -24,8 +25,8 @@
   exchange_ = 0;
   response_ = std::move(response);
   response_.version(11);
-  // The connection is closed after a client error: the next request may be malformed as well, and
-  // the same error again costs as much.
+  // The connection is closed after a client error: the next request may be invalid as well, and
+  // would cost as much again.
   keep_alive_ =
       keep_alive_ && !has_unread_body && !must_close_after_response() &&
       beast_http::to_status_class(response_.result()) != beast_http::status_class::client_error;
@@ -97,31 +98,31 @@
     return;
   }
   const auto stream = response_stream_;
-  std::string piece = stream->take();
+  std::string bytes = stream->take();
   if (state_ != SessionState::streaming_response) {
     return;
   }
-  if (chunked_ && !piece.empty()) {
-    piece = encode_chunk(piece);
+  if (chunked_ && !bytes.empty()) {
+    bytes = encode_chunk(bytes);
   }
   const bool is_last = stream->finished() && stream->empty();
   if (is_last && chunked_) {
-    piece += kLastChunk;
+    bytes += kLastChunk;
   }
-  if (is_last && piece.empty()) {
+  if (is_last && bytes.empty()) {
     return on_response_written();
   }
-  if (!piece.empty()) {
-    return write(std::move(piece),
+  if (!bytes.empty()) {
+    return write(std::move(bytes),
                  [this, is_last] { is_last ? on_response_written() : write_from_stream(); });
   }
-  // A response that ends with its connection would look complete after an orderly close.
+  // After an orderly close, a body that is ended by the end of the connection would look complete.
   if (stream->aborted()) {
     reset();
   }
 }
 
-// Closes with a TCP reset.
+// Closes with a TCP reset, which shows the client that the response is incomplete.
 void ClientSession::reset() {
   error_code ignored;
   socket_.set_option(asio::socket_base::linger(true, 0), ignored);
--- a/src/http/framing.cpp
+++ b/src/http/framing.cpp
@@ -6,8 +6,8 @@
 namespace gateway::http {
 namespace {
 
-constexpr std::size_t kMaxLengthDigits =
-    18;  // longer than any allowed body, without integer overflow
+// Digits of a Content-Length: more than any allowed body needs, without overflow of 64 bits.
+constexpr std::size_t kMaxLengthDigits = 18;
 
 bool is_digits(std::string_view text) {
   return !text.empty() &&
@@ -31,15 +31,15 @@
 }
 
 bool is_request_line(std::string_view line) {  // "GET /path HTTP/1.1"
-  const std::size_t method = line.find(' ');
-  const std::size_t target = line.rfind(' ');
-  if (method == std::string_view::npos || method == target) {
+  const std::size_t method_end = line.find(' ');
+  const std::size_t target_end = line.rfind(' ');
+  if (method_end == std::string_view::npos || method_end == target_end) {
     return false;
   }
-  const std::string_view path = line.substr(method + 1, target - method - 1);
-  return is_token(line.substr(0, method)) && !path.empty() && path.front() == '/' &&
+  const std::string_view path = line.substr(method_end + 1, target_end - method_end - 1);
+  return is_token(line.substr(0, method_end)) && !path.empty() && path.front() == '/' &&
          std::all_of(path.begin(), path.end(), [](char c) { return c > ' ' && c < 0x7f; }) &&
-         is_supported_version(line.substr(target + 1));
+         is_supported_version(line.substr(target_end + 1));
 }
 
 bool is_status_line(std::string_view line) {  // "HTTP/1.1 200 OK", the reason phrase is optional
@@ -52,13 +52,13 @@
 HeadScanner::State HeadScanner::scan(std::string_view received) {
   for (; position_ < received.size(); ++position_) {
     const char character = received[position_];
-    const bool after_return = position_ > line_start_ && received[position_ - 1] == '\r';
-    if (after_return != (character == '\n')) {
-      return State::bad;  // a bare line feed or carriage return
+    const bool follows_carriage_return = position_ > line_start_ && received[position_ - 1] == '\r';
+    if (follows_carriage_return != (character == '\n')) {
+      return State::invalid;  // a line feed or carriage return without the other
     }
     if (static_cast<unsigned char>(character) < ' ' && character != '\r' && character != '\n' &&
         character != '\t') {
-      return State::bad;
+      return State::invalid;
     }
     if (character != '\n') {
       continue;
@@ -66,10 +66,10 @@
     const std::string_view line = received.substr(line_start_, position_ - 1 - line_start_);
     line_start_ = position_ + 1;
     if (line.empty() && !at_start_line_) {
-      return has_content_length_ && has_transfer_encoding_ ? State::bad : State::complete;
+      return has_content_length_ && has_transfer_encoding_ ? State::invalid : State::complete;
     }
     if (!accept_line(line)) {
-      return State::bad;
+      return State::invalid;
     }
   }
   return State::incomplete;
@@ -89,7 +89,7 @@
 
 bool HeadScanner::accept_field(std::string_view line) {
   const std::size_t colon = line.find(':');
-  // A name has no spaces, so an obsolete folded line is rejected here as well.
+  // A field name has no spaces, so an obsolete line folding is rejected here as well.
   if (colon == std::string_view::npos || !is_token(line.substr(0, colon))) {
     return false;
   }
--- a/src/http/framing.hpp
+++ b/src/http/framing.hpp
@@ -1,4 +1,5 @@
-// Strict validation of the head of an HTTP/1 message.
+/// @file
+/// Strict validation of the head of an HTTP/1 message.
 #pragma once
 
 #include <cstddef>
@@ -7,20 +8,20 @@
 
 namespace gateway::http {
 
-// Validates a head before the parser sees it. Two readers that disagree on where a message ends
-// could be tricked into taking a body for a request (request smuggling), so every ambiguity makes
-// the head bad. Serves one head; create a new one for the next message.
+/// Validates a head before the parser reads it. If two HTTP implementations disagree on where a
+/// message ends, one of them can be made to take part of a body for a request (request smuggling),
+/// so every ambiguous head is invalid. Scans one head; a new message needs a new scanner.
 class HeadScanner {
  public:
   enum class Kind { request, response };
-  enum class State { incomplete, complete, bad };
+  enum class State { incomplete, complete, invalid };
 
   explicit HeadScanner(Kind kind) : kind_(kind) {}
 
-  // `received` is everything since the first byte of the message; scanning continues where the last
-  // call stopped.
+  /// `received` contains all bytes since the first one of the message; scanning continues where the
+  /// last call stopped.
   State scan(std::string_view received);
-  // Number of header fields seen so far.
+  /// Number of header fields scanned so far.
   std::size_t fields() const { return fields_; }
 
  private:
--- a/src/http/load_report.cpp
+++ b/src/http/load_report.cpp
@@ -7,9 +7,9 @@
 namespace gateway::http {
 namespace {
 
-constexpr double kMaxLatencyMs = 1e6;  // a longer time is not plausible
+constexpr double kMaxLatencyMs = 1e6;  // longer times are implausible and ignored
 constexpr double kNanosecondsPerMs = 1e6;
-constexpr double kMaxUtilization = 1.5;  // reports slightly above 1 are rounded down to it
+constexpr double kMaxUtilization = 1.5;  // values above 1 are taken as 1, higher ones ignored
 
 std::string_view trimmed(std::string_view text) {
   while (!text.empty() && text.front() == ' ') {
--- a/src/http/upstream_connection.cpp
+++ b/src/http/upstream_connection.cpp
@@ -1,4 +1,5 @@
-// Life cycle of a connection to a host: connecting, writing the request, ending the attempt.
+/// @file
+/// Life cycle of a connection to a host: connecting, writing the request, ending the attempt.
 #include "http/upstream_connection.hpp"
 
 #include <algorithm>
@@ -22,16 +23,15 @@
                                        load_balancer::HostId host)
     : owner_(&owner), host_(host), socket_(io), timeout_timer_(io), streaming_timer_(io) {}
 
-void UpstreamConnection::assign(AttemptKey key, HttpRequest request, AttemptTimes times,
+void UpstreamConnection::assign(AttemptKey key, HttpRequest request, AttemptTimeouts timeouts,
                                 std::shared_ptr<BodyStream> body, Clock::time_point now) {
   key_ = key;
   request_ = std::move(request);
   request_stream_ = std::move(body);
   sent_at_ = now;
-  time_limit_ = std::max(times.limit, Duration::zero());
-  deadline_ = now + time_limit_;
-  begin_by_ =
-      times.begin_within == Duration::max() ? Clock::time_point::max() : now + times.begin_within;
+  response_timeout_ = std::max(timeouts.response, Duration::zero());
+  deadline_ = now + response_timeout_;
+  start_by_ = timeouts.start == Duration::max() ? Clock::time_point::max() : now + timeouts.start;
 }
 
 void UpstreamConnection::cancel() {
@@ -54,7 +54,7 @@
   release_streams();
 }
 
-// A response that was begun and is incomplete is aborted.
+// Detaches from both streams. A streamed response that is incomplete is aborted.
 void UpstreamConnection::release_streams() {
   const auto self = shared_from_this();
   if (const auto stream = std::exchange(request_stream_, nullptr)) {
@@ -88,9 +88,9 @@
 }
 
 void UpstreamConnection::connect(const tcp::endpoint& endpoint) {
-  // Nothing is written before the connection is open, so each of the three time limits proves here
-  // that the request was not executed.
-  set_timeout(std::min({deadline_, sent_at_ + owner_->connect_timeout(), begin_by_}),
+  // Nothing is written before the connection is open: whichever of the three time limits expires
+  // first, the request was not executed.
+  set_timeout(std::min({deadline_, sent_at_ + owner_->connect_timeout(), start_by_}),
               Outcome::connect_failed);
   error_code ec;
   socket_.open(endpoint.protocol(), ec);  // fails without a free descriptor
@@ -119,7 +119,7 @@
   }
   // The time spent on connecting is subtracted.
   set_deadline_header(deadline_ - Clock::now());
-  set_timeout(std::min(deadline_, begin_by_), Outcome::timeout);
+  set_timeout(std::min(deadline_, start_by_), Outcome::timeout);
   beast_http::async_write(socket_, request_,
                           [self = shared_from_this()](error_code ec, std::size_t) {
                             if (self->state_ != State::writing) {
@@ -135,7 +135,7 @@
 
 void UpstreamConnection::on_request_written() {
   state_ = State::reading;
-  if (begin_by_ < deadline_) {
+  if (start_by_ < deadline_) {
     set_timeout(deadline_, Outcome::timeout);
   }
   receive();
@@ -146,10 +146,10 @@
   request_.set("X-Deadline-Ms", std::to_string(std::max<std::int64_t>(ms, 1)));
 }
 
-// --- A request body that still arrives ---
+// --- A request body that is still arriving ---
 
 void UpstreamConnection::start_streaming_request() {
-  set_deadline_header(time_limit_);
+  set_deadline_header(response_timeout_);
   limit_socket_buffers(socket_);
   const std::weak_ptr<UpstreamConnection> weak = weak_from_this();
   request_stream_->on_data = [weak] {
@@ -169,33 +169,34 @@
   if (stream->aborted()) {
     return finish_attempt(Outcome::connect_failed);  // its last byte will never be written
   }
-  std::string piece = stream->take();
+  std::string bytes = stream->take();
   if (state_ != State::writing) {
     return;
   }
-  if (request_.chunked() && !piece.empty()) {
-    piece = encode_chunk(piece);
+  if (request_.chunked() && !bytes.empty()) {
+    bytes = encode_chunk(bytes);
   }
   const bool is_last = stream->finished() && stream->empty();
   if (is_last && request_.chunked()) {
-    piece += kLastChunk;
+    bytes += kLastChunk;
   }
-  if (!piece.empty()) {
-    return write(std::move(piece), is_last ? WriteKind::end_of_request : WriteKind::more_follows);
+  if (!bytes.empty()) {
+    return write(std::move(bytes), is_last ? WriteKind::end_of_request : WriteKind::more_follows);
   }
   if (is_last) {
     return on_streamed_request_written();
   }
-  // The client is waited for, which is no failure of the host.
-  set_timeout(begin_by_, Outcome::connect_failed);
+  // The gateway waits for the client, which is not a failure of the host. The request is not
+  // executed before its last byte, so an expiry is safe to report as connect_failed.
+  set_timeout(start_by_, Outcome::connect_failed);
 }
 
 void UpstreamConnection::write(std::string text, WriteKind kind) {
   const bool is_last = kind == WriteKind::end_of_request;
   output_ = std::move(text);
   last_write_started_ = is_last;
-  // The host does not execute the request before its last byte.
-  set_timeout(std::min(Clock::now() + kStallTimeout, begin_by_),
+  // The host does not execute the request before it has received the last byte.
+  set_timeout(std::min(Clock::now() + kStallTimeout, start_by_),
               is_last ? Outcome::timeout : Outcome::connect_failed);
   asio::async_write(socket_, asio::buffer(output_),
                     [self = shared_from_this(), is_last](error_code ec, std::size_t) {
@@ -219,14 +220,15 @@
   request_stream_->on_data = nullptr;
   request_stream_.reset();
   sent_at_ = Clock::now();
-  deadline_ = sent_at_ + time_limit_;
+  deadline_ = sent_at_ + response_timeout_;
   set_timeout(deadline_, Outcome::timeout);
 }
 
 // --- The end of an attempt ---
 
-// The connection is kept only after a complete response: a late response to an abandoned attempt
-// would be taken for the response to the next request.
+// The connection is kept only after a complete response: a late response to a cancelled attempt
+// would be taken for the response to the next request. The attempt of a streamed response has been
+// reported before, so only the connection is closed.
 void UpstreamConnection::finish_attempt(Outcome outcome, Reuse reuse) {
   const auto self = shared_from_this();
   if (response_stream_) {
@@ -239,7 +241,7 @@
   }
   if (outcome == Outcome::success) {
     completion.response = std::move(response_);
-    completion.response.body() = std::exchange(held_body_, {});
+    completion.response.body() = std::exchange(buffered_body_, {});
   }
   release_streams();
   owner_->release_attempt(key_);
@@ -259,7 +261,7 @@
   state_ = State::idle;
   cancel_timers();
   request_ = {};
-  held_body_ = {};
+  buffered_body_ = {};
   parser_.reset();
   idle_since_ = Clock::now();
   buffer_.shrink_to_fit();
@@ -267,7 +269,7 @@
   watch_idle();
 }
 
-// An idle connection becomes readable when the host closes it; unexpected data ends it as well.
+// An idle connection becomes readable when the host closes it. Unexpected data closes it as well.
 void UpstreamConnection::watch_idle() {
   if (watching_idle_) {
     return;
@@ -281,7 +283,7 @@
   });
 }
 
-bool UpstreamConnection::usable() {
+bool UpstreamConnection::is_usable() {
   char byte = 0;
   error_code ec;
   socket_.non_blocking(true, ec);
--- a/src/http/upstream_connection.hpp
+++ b/src/http/upstream_connection.hpp
@@ -1,5 +1,6 @@
-// One connection to a host, and the attempt that runs on it. Maps how a socket ends to an
-// AttemptOutcome; never retries by itself. All functions run on the event loop's thread.
+/// @file
+/// One connection to a host, and the attempt that runs on it. Maps the responses and errors of the
+/// socket to an AttemptOutcome; never retries by itself.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,48 +24,55 @@
 
 namespace gateway::http {
 
+/// Identifies an attempt, as in load_balancer::SendAttempt.
 struct AttemptKey {
   load_balancer::RequestId request = 0;
   std::uint32_t attempt = 0;
   bool operator==(const AttemptKey&) const = default;
 };
 
+/// How an attempt ended.
 struct AttemptCompletion {
   AttemptKey key;
   load_balancer::HostId host = load_balancer::kNone;
   load_balancer::AttemptOutcome outcome = load_balancer::AttemptOutcome::reset;
-  load_balancer::Duration elapsed{};              // from the end of the request's body
-  std::optional<load_balancer::LoadReport> load;  // if the response has one
-  HttpResponse response;                          // only with AttemptOutcome::success
-  // Null: the response is complete. Else its body comes from here, and is aborted if the host
-  // fails.
+  /// Since the attempt was started, or since the end of a streamed request body.
+  load_balancer::Duration elapsed{};
+  std::optional<load_balancer::LoadReport> load;  ///< If the response has one.
+  HttpResponse response;                          ///< Only with AttemptOutcome::success.
+  /// Null: the response is complete. Else its body comes from here, and is aborted if the host
+  /// fails.
   std::shared_ptr<BodyStream> stream;
 };
 
-struct AttemptTimes {
-  load_balancer::Duration limit;  // for the response
-  // For the first byte of the request, and for the last one of its body.
-  load_balancer::Duration begin_within;
+/// The time limits of an attempt, from load_balancer::SendAttempt.
+struct AttemptTimeouts {
+  /// For the response, from the start of the attempt or from the end of a streamed request body.
+  load_balancer::Duration response;
+  /// For writing the first byte of the request and the last one of its body, from the start of the
+  /// attempt. Duration::max(): no such limit.
+  load_balancer::Duration start;
 };
 
 class UpstreamConnection;
 
-// The pool as its connections see it. Outlives all of them in any state but closed.
+/// What a connection needs from its pool. Must outlive every connection that is not closed.
 class UpstreamConnectionOwner {
  public:
-  // Longest time for a new connection.
+  /// Time limit for a new connection.
   virtual load_balancer::Duration connect_timeout() const = 0;
-  virtual std::shared_ptr<BufferBudget> buffers() const = 0;
-  // The attempt is over; the caller reports it afterwards by report().
+  virtual std::shared_ptr<BufferBudget> buffer_budget() const = 0;
+  /// The attempt is finished; the connection calls report() for it afterwards.
   virtual void release_attempt(AttemptKey key) = 0;
-  // The response goes on after its attempt is over.
+  /// The response is streamed on after its attempt is reported.
   virtual void add_stream(const std::shared_ptr<UpstreamConnection>& connection) = 0;
   virtual void remove_stream(const std::shared_ptr<UpstreamConnection>& connection) = 0;
+  /// Reports how an attempt ended; called once for each, unless close() ended it.
   virtual void report(AttemptCompletion completion) = 0;
-  // Whether connections to the host are kept for further requests.
+  /// Whether connections to the host are kept for further requests.
   virtual bool keeps_connections(load_balancer::HostId host) const = 0;
   virtual void add_idle(const std::shared_ptr<UpstreamConnection>& connection) = 0;
-  // An idle connection became readable: the host has closed it.
+  /// An idle connection became readable: the host has closed it or sent unexpected data.
   virtual void remove_idle(const std::shared_ptr<UpstreamConnection>& connection) = 0;
   virtual void on_connection_closed() = 0;
 
@@ -72,6 +80,7 @@
   ~UpstreamConnectionOwner() = default;
 };
 
+/// Kept alive by the pool and by its pending operations. Used on the event loop's thread only.
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
  public:
   using Clock = std::chrono::steady_clock;
@@ -79,25 +88,26 @@
   UpstreamConnection(UpstreamConnectionOwner& owner, boost::asio::io_context& io,
                      load_balancer::HostId host);
 
-  // Assigns an attempt; followed by connect() on a new connection, by write_request() on an idle
-  // one. With a `body` the request's body comes from there.
-  void assign(AttemptKey key, HttpRequest request, AttemptTimes times,
+  /// Assigns an attempt. Must be followed by connect() on a new connection, by write_request() on
+  /// an idle one. With a `body` the request's body comes from there.
+  void assign(AttemptKey key, HttpRequest request, AttemptTimeouts timeouts,
               std::shared_ptr<BodyStream> body, Clock::time_point now);
   void connect(const boost::asio::ip::tcp::endpoint& endpoint);
   void write_request();
+  /// Ends the attempt as cancelled.
   void cancel();
-  // Ends the attempt that waits for this connection: nothing of it was sent.
+  /// Ends the attempt as connect_failed; called while nothing of it has been sent.
   void fail_unsent();
-  // Closes without a report of the attempt.
+  /// Closes without reporting the attempt.
   void close();
 
   load_balancer::HostId host() const { return host_; }
   Clock::time_point idle_since() const { return idle_since_; }
-  // Nothing of the request has been sent.
+  /// Nothing of the request has been sent.
   bool not_yet_sent() const { return state_ == State::connecting; }
-  // An idle connection is open, by a look at the socket: the event loop may not know of the end
-  // yet.
-  bool usable();
+  /// Whether an idle connection is still open. Checks the socket, as the event loop may not have
+  /// reported the end of the connection yet.
+  bool is_usable();
 
  private:
   enum class State { connecting, writing, reading, idle, closed };
@@ -131,11 +141,11 @@
 
   unsigned status() const { return response_.result_int(); }
   bool has_long_body() const;
-  bool ends_before_connection() const;
+  bool has_delimited_body() const;
   bool can_reuse() const;
   Outcome outcome_of_response() const;
 
-  void stream_response_soon();
+  void schedule_streaming();
   void start_streaming_response();
   void restart_stall_timer();
 
@@ -154,20 +164,21 @@
   HeadScanner scanner_{HeadScanner::Kind::response};
   HttpRequest request_;
   HttpResponse response_;                        // its head
-  std::string held_body_;                        // of the response, until it is streamed
+  std::string buffered_body_;                    // of the response, until it is streamed
   std::string output_;                           // being written
-  std::shared_ptr<BodyStream> request_stream_;   // a request body that still arrives
+  std::shared_ptr<BodyStream> request_stream_;   // a request body that is still arriving
   std::shared_ptr<BodyStream> response_stream_;  // set once the response is streamed
   AttemptKey key_;
   State state_ = State::connecting;
   Clock::time_point sent_at_;
   Clock::time_point idle_since_;
   Clock::time_point deadline_;
-  // A first byte, or a last byte of the body, sent later could execute the request too late.
-  Clock::time_point begin_by_;
-  Duration time_limit_{};  // from the end of the request's body
-  // Numbers the settings of timeout_timer_ and the responses that streaming_timer_ is for. An
-  // expiry that is already queued when its timer is moved has an older number and is ignored.
+  // Latest time to write the first byte of the request and the last one of its body: written later,
+  // they could make the host execute the request too late.
+  Clock::time_point start_by_;
+  Duration response_timeout_{};  // restarted at the end of a streamed request body
+  // Count the waits of timeout_timer_ and the responses that streaming_timer_ was started for. An
+  // expiry that is already queued when its timer is restarted has an older number and is ignored.
   std::uint64_t timeout_generation_ = 0;
   std::uint64_t response_generation_ = 0;
   std::uint64_t streaming_timer_generation_ = 0;
@@ -176,7 +187,7 @@
   bool watching_idle_ = false;
   bool head_complete_ = false;
   bool receiving_ = false;
-  bool parsing_ = false;  // parse_response() asks for more input itself
+  bool parsing_ = false;  // parse_response() is running and calls receive() itself
   bool last_write_started_ = false;
 };
 
--- a/src/http/upstream_pool.cpp
+++ b/src/http/upstream_pool.cpp
@@ -14,22 +14,22 @@
 using load_balancer::HostId;
 using tcp = asio::ip::tcp;
 
-// Interval at which idle connections are checked against the limits.
+// Interval at which idle connections are checked against their limits.
 constexpr Duration kSweepInterval = std::chrono::milliseconds(250);
-// A request written to a connection that the host is just closing ends as a reset, and may have
-// been executed. So idle connections are closed earlier than the host would by this, or by a
-// fraction of a short timeout.
+// An attempt on a connection that the host is just closing ends as a reset, after which the request
+// may have been executed. So idle connections are closed this much earlier than the host does.
 constexpr Duration kIdleMargin = std::chrono::seconds(2);
+// The margin is at most the host's idle timeout divided by this.
 constexpr int kIdleMarginDivisor = 5;
 
 }  // namespace
 
 UpstreamPool::UpstreamPool(asio::io_context& io, Limits limits, OnCompletion on_completion,
-                           std::shared_ptr<BufferBudget> buffers)
+                           std::shared_ptr<BufferBudget> buffer_budget)
     : io_(io),
       limits_(limits),
       on_completion_(std::move(on_completion)),
-      buffers_(std::move(buffers)),
+      buffer_budget_(std::move(buffer_budget)),
       sweep_timer_(io) {
   sweep();
 }
@@ -54,20 +54,20 @@
   }
 }
 
-void UpstreamPool::list(HostId host_id, const tcp::endpoint& endpoint, bool serving) {
+void UpstreamPool::update_host(HostId host_id, const tcp::endpoint& endpoint, bool serving) {
   Host& host = hosts_[host_id];
-  // A removed host may be listed without its address.
-  const bool has_moved = endpoint.port() != 0 && endpoint != host.endpoint;
-  if (has_moved || !serving) {
+  // The entry of a removed host may have no address.
+  const bool address_changed = endpoint.port() != 0 && endpoint != host.endpoint;
+  if (address_changed || !serving) {
     close_idle(host_id);
   }
-  if (has_moved) {
+  if (address_changed) {
     host.endpoint = endpoint;
   }
   host.serving = serving;
 }
 
-void UpstreamPool::unlist_all() {
+void UpstreamPool::mark_all_not_serving() {
   for (auto& [id, host] : hosts_) {
     host.serving = false;
   }
@@ -78,14 +78,14 @@
   hosts_.erase(host);
 }
 
-void UpstreamPool::start(AttemptKey key, HostId host, HttpRequest request, Times times,
+void UpstreamPool::start(AttemptKey key, HostId host, HttpRequest request, Timeouts timeouts,
                          std::shared_ptr<BodyStream> body) {
   const auto now = Clock::now();
-  const auto known = hosts_.find(host);
-  if (known == hosts_.end()) {
+  const auto entry = hosts_.find(host);
+  if (entry == hosts_.end()) {
     return report_connect_failure(key, host);
   }
-  std::shared_ptr<UpstreamConnection> connection = take_idle(known->second);
+  std::shared_ptr<UpstreamConnection> connection = take_idle(entry->second);
   const bool is_new = !connection;
   if (is_new) {
     if (open_connections_ >= limits_.connections && !close_oldest_idle()) {
@@ -95,10 +95,10 @@
     connection = std::make_shared<UpstreamConnection>(owner, io_, host);
     ++open_connections_;
   }
-  connection->assign(key, std::move(request), times, std::move(body), now);
+  connection->assign(key, std::move(request), timeouts, std::move(body), now);
   active_.emplace(key, connection);
   if (is_new) {
-    connection->connect(known->second.endpoint);
+    connection->connect(entry->second.endpoint);
   } else {
     connection->write_request();
   }
@@ -118,15 +118,15 @@
 }
 
 void UpstreamPool::close_idle(HostId host) {
-  if (const auto known = hosts_.find(host); known != hosts_.end()) {
-    for (auto& connection : std::exchange(known->second.idle, {})) {
+  if (const auto entry = hosts_.find(host); entry != hosts_.end()) {
+    for (auto& connection : std::exchange(entry->second.idle, {})) {
       connection->close();
     }
   }
 }
 
 template <class Predicate>
-void UpstreamPool::drop_unsent_where(Predicate predicate) {
+void UpstreamPool::fail_unsent_where(Predicate predicate) {
   std::vector<std::shared_ptr<UpstreamConnection>> unsent;
   for (const auto& [key, connection] : active_) {
     if (connection->not_yet_sent() && predicate(*connection)) {
@@ -134,19 +134,19 @@
     }
   }
   for (const auto& connection : unsent) {
-    if (connection->not_yet_sent()) {  // the completion of one attempt may end another
+    if (connection->not_yet_sent()) {  // completing an attempt may cancel another
       connection->fail_unsent();
     }
   }
 }
 
-void UpstreamPool::drop_unsent(HostId host) {
-  drop_unsent_where(
+void UpstreamPool::fail_unsent(HostId host) {
+  fail_unsent_where(
       [&](const UpstreamConnection& connection) { return connection.host() == host; });
 }
 
-void UpstreamPool::drop_unsent_to_unlisted() {
-  drop_unsent_where(
+void UpstreamPool::fail_unsent_to_non_serving() {
+  fail_unsent_where(
       [&](const UpstreamConnection& connection) { return !keeps_connections(connection.host()); });
 }
 
@@ -170,8 +170,8 @@
 }
 
 bool UpstreamPool::keeps_connections(HostId host) const {
-  const auto known = hosts_.find(host);
-  return known != hosts_.end() && known->second.serving;
+  const auto entry = hosts_.find(host);
+  return entry != hosts_.end() && entry->second.serving;
 }
 
 void UpstreamPool::add_idle(const std::shared_ptr<UpstreamConnection>& connection) {
@@ -179,8 +179,8 @@
 }
 
 void UpstreamPool::remove_idle(const std::shared_ptr<UpstreamConnection>& connection) {
-  if (const auto known = hosts_.find(connection->host()); known != hosts_.end()) {
-    std::erase(known->second.idle, connection);
+  if (const auto entry = hosts_.find(connection->host()); entry != hosts_.end()) {
+    std::erase(entry->second.idle, connection);
   }
   connection->close();
 }
@@ -190,7 +190,7 @@
   while (!idle.empty()) {
     auto connection = std::move(idle.back());
     idle.pop_back();
-    if (!has_expired(*connection) && connection->usable()) {
+    if (!has_expired(*connection) && connection->is_usable()) {
       return connection;
     }
     connection->close();
@@ -224,7 +224,7 @@
 
 void UpstreamPool::sweep() {
   while (open_connections_ > limits_.connections && close_oldest_idle()) {
-    // The limit may have been lowered.
+    // set_limits() may have lowered the limit.
   }
   for (auto& [id, host] : hosts_) {
     std::erase_if(host.idle, [&, serving = host.serving](const auto& connection) {
--- a/src/http/upstream_pool.hpp
+++ b/src/http/upstream_pool.hpp
@@ -1,6 +1,6 @@
-// The connections to all hosts: reuse of idle ones, limits, and the attempts that run on them.
-// Executes what the balancer decides and never retries by itself. All functions run on the event
-// loop's thread.
+/// @file
+/// The connections to all hosts: reuse of idle ones, limits, and the attempts that run on them.
+/// Executes the balancer's decisions and never retries by itself.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,50 +22,58 @@
 
 namespace gateway::http {
 
+/// Used on the event loop's thread only. The io_context must outlive the pool.
 class UpstreamPool : private UpstreamConnectionOwner {
  public:
   struct Limits {
-    std::size_t connections = 256;              // to all hosts together
-    load_balancer::Duration connect_timeout{};  // for a new connection
-    // The hosts close connections that are idle for longer; 0 = never.
+    std::size_t connections = 256;              ///< To all hosts together.
+    load_balancer::Duration connect_timeout{};  ///< For a new connection.
+    /// Hosts close connections that are idle for this long; 0: never.
     load_balancer::Duration idle_timeout{};
   };
-  using Times = AttemptTimes;
-  // May be called from within start() and cancel().
+  using Timeouts = AttemptTimeouts;
+  /// May be called from within start(), cancel() and the functions that fail or cancel unsent
+  /// attempts.
   using OnCompletion = std::function<void(AttemptCompletion)>;
 
   UpstreamPool(boost::asio::io_context& io, Limits limits, OnCompletion on_completion,
-               std::shared_ptr<BufferBudget> buffers = std::make_shared<BufferBudget>());
+               std::shared_ptr<BufferBudget> buffer_budget = std::make_shared<BufferBudget>());
   // NOLINTNEXTLINE(bugprone-exception-escape): throws only when out of memory
   ~UpstreamPool();
   UpstreamPool(const UpstreamPool&) = delete;
   UpstreamPool& operator=(const UpstreamPool&) = delete;
 
+  /// Connections above a lowered limit are closed once they are idle.
   void set_limits(const Limits& limits) { limits_ = limits; }
-  // Adds or updates a host of the endpoint list. Connections to a host that is not `serving` are
-  // closed once they are idle.
-  void list(load_balancer::HostId host, const boost::asio::ip::tcp::endpoint& endpoint,
-            bool serving);
-  // Marks all hosts as not serving; called before the entries of a full endpoint list.
-  void unlist_all();
-  // Removes a host without active attempts; its id may be assigned to another host.
+  /// Adds or updates a host of the endpoint list. Connections to a host that is not `serving` are
+  /// closed once they are idle.
+  void update_host(load_balancer::HostId host, const boost::asio::ip::tcp::endpoint& endpoint,
+                   bool serving);
+  /// Marks all hosts as not serving; called before the entries of a full endpoint list are applied.
+  void mark_all_not_serving();
+  /// Removes a host without active attempts; its id may then be assigned to another host.
   void forget(load_balancer::HostId host);
-  // Sends the request, on the most recently used idle connection if there is one, with the time
-  // remaining in X-Deadline-Ms. Completes exactly once. With a `body` the request's body comes from
-  // there, and the time limit and the elapsed time count from its end.
-  void start(AttemptKey key, load_balancer::HostId host, HttpRequest request, Times times,
+  /// Sends the request, on the most recently used idle connection if there is one, with the
+  /// remaining time in X-Deadline-Ms. Completes exactly once, unless stop() is called before. With
+  /// a `body` the request's body comes from there, and the response timeout and the elapsed time
+  /// count from its end.
+  void start(AttemptKey key, load_balancer::HostId host, HttpRequest request, Timeouts timeouts,
              std::shared_ptr<BodyStream> body = nullptr);
+  /// Completes an attempt as cancelled; ignores an unknown or finished one.
   void cancel(AttemptKey key);
+  /// Closes the connections to the host that carry no attempt and no streamed response.
   void close_idle(load_balancer::HostId host);
-  // Fails the attempts to a host that still wait for a connection, so that they are never sent.
-  void drop_unsent(load_balancer::HostId host);
-  // The same for all hosts that are not serving.
-  void drop_unsent_to_unlisted();
-  // Cancels an attempt if it still waits for a connection.
+  /// Fails the attempts to a host that still wait for a connection, so that they are never sent.
+  void fail_unsent(load_balancer::HostId host);
+  /// The same for all hosts that are not serving.
+  void fail_unsent_to_non_serving();
+  /// Cancels an attempt if it still waits for a connection.
   void cancel_unsent(AttemptKey key);
-  // Closes all connections without completing their attempts.
+  /// Closes all connections without completing their attempts.
   void stop();
+  /// Number of open connections, including those being established.
   std::size_t connections() const { return open_connections_; }
+  /// Number of hosts added and not forgotten.
   std::size_t hosts() const { return hosts_.size(); }
 
  private:
@@ -83,7 +91,7 @@
   };
 
   load_balancer::Duration connect_timeout() const override { return limits_.connect_timeout; }
-  std::shared_ptr<BufferBudget> buffers() const override { return buffers_; }
+  std::shared_ptr<BufferBudget> buffer_budget() const override { return buffer_budget_; }
   void release_attempt(AttemptKey key) override { active_.erase(key); }
   void add_stream(const std::shared_ptr<UpstreamConnection>& connection) override;
   void remove_stream(const std::shared_ptr<UpstreamConnection>& connection) override;
@@ -94,7 +102,7 @@
   void on_connection_closed() override { --open_connections_; }
 
   template <class Predicate>
-  void drop_unsent_where(Predicate predicate);
+  void fail_unsent_where(Predicate predicate);
   void report_connect_failure(AttemptKey key, load_balancer::HostId host);
   std::shared_ptr<UpstreamConnection> take_idle(Host& host);
   bool close_oldest_idle();
@@ -106,9 +114,9 @@
   OnCompletion on_completion_;
   std::unordered_map<load_balancer::HostId, Host> hosts_;
   std::unordered_map<AttemptKey, std::shared_ptr<UpstreamConnection>, KeyHash> active_;
-  // Their attempts are complete, and their responses are still streamed.
+  // Connections whose attempts are completed and whose responses are still streamed.
   std::unordered_set<std::shared_ptr<UpstreamConnection>> streaming_;
-  std::shared_ptr<BufferBudget> buffers_;
+  std::shared_ptr<BufferBudget> buffer_budget_;
   std::size_t open_connections_ = 0;
   boost::asio::steady_timer sweep_timer_;
 };
--- a/src/http/upstream_response.cpp
+++ b/src/http/upstream_response.cpp
@@ -1,4 +1,5 @@
-// Reading a host's response: complete, or streamed while its body arrives.
+/// @file
+/// Reading a host's response: complete, or streamed while its body arrives.
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/error.hpp>
 #include <boost/beast/http/error.hpp>
@@ -19,17 +20,17 @@
 namespace beast_http = boost::beast::http;
 using boost::system::error_code;
 
-// Interim responses (1xx) before the final one; more than any use needs.
+// Interim responses (1xx) accepted before the final one; more than any host should send.
 constexpr int kMaxInterimResponses = 8;
 
 }  // namespace
 
-// For one response, final or interim.
+// Resets the parser for the next response, final or interim.
 void UpstreamConnection::prepare_for_response() {
   scanner_ = HeadScanner(HeadScanner::Kind::response);
   head_complete_ = false;
   body_size_ = 0;
-  held_body_ = {};
+  buffered_body_ = {};
   ++response_generation_;
   parser_.emplace();
   // parse_body checks kBodyLimit over all parts of a body.
@@ -40,9 +41,9 @@
   }
 }
 
-// An attempt may end, by its time limit or by a cancel, while a completed read is queued in the
-// event loop. So no asynchronous library operation may use the parser: only the socket is read
-// here, and the state tells whether the input is still wanted.
+// A timeout or a cancel may end the attempt while the completion of a read is queued in the event
+// loop. So no asynchronous library operation may use the parser: only the socket is read here, and
+// the handler checks the state before the input is parsed.
 void UpstreamConnection::receive() {
   if (receiving_) {
     return;
@@ -63,12 +64,13 @@
 }
 
 void UpstreamConnection::on_read_error(error_code ec) {
-  // The last byte may have been sent although the completion of the write is not reported yet.
+  // The host may have received the last byte although the write has not completed yet: once the
+  // last write is started, the request may have been executed.
   if (state_ == State::writing) {
     return finish_attempt(last_write_started_ ? Outcome::reset : Outcome::connect_failed);
   }
-  // The end of the connection may end a response, if it is an orderly one.
-  if (ec == asio::error::eof && head_complete_ && !ends_before_connection() &&
+  // An orderly end of the connection ends a body without a length.
+  if (ec == asio::error::eof && head_complete_ && !has_delimited_body() &&
       parser_->is_header_done()) {
     error_code eof_error;
     parser_->put_eof(eof_error);
@@ -99,7 +101,7 @@
     if (status() / 100 != 1) {
       return complete_response(can_reuse() ? Reuse::allowed : Reuse::forbidden);
     }
-    // An interim response is skipped. No change of protocol was requested, so 101 is invalid.
+    // Interim responses are skipped. 101 is invalid, as no change of the protocol was requested.
     if (status() == 101 || ++interim_responses_ > kMaxInterimResponses) {
       return finish_attempt(Outcome::server_error);
     }
@@ -110,7 +112,7 @@
 UpstreamConnection::ParseResult UpstreamConnection::parse_head() {
   const auto data = buffer_.data();
   const auto head = scanner_.scan({static_cast<const char*>(data.data()), data.size()});
-  if (head == HeadScanner::State::bad ||
+  if (head == HeadScanner::State::invalid ||
       (head == HeadScanner::State::incomplete && buffer_.size() > kHeaderLimit)) {
     finish_attempt(Outcome::server_error);
     return ParseResult::stop;
@@ -154,21 +156,21 @@
   if (response_stream_) {
     response_stream_->push(body);
   } else {
-    held_body_ += body;
+    buffered_body_ += body;
   }
-  // The reader may have dropped the stream.
+  // push() may have made the reader drop the stream, which closes this connection.
   return is_active() ? ParseResult::proceed : ParseResult::stop;
 }
 
 void UpstreamConnection::continue_body() {
-  if (!response_stream_ && (has_long_body() || held_body_.size() > kHoldLimit)) {
+  if (!response_stream_ && (has_long_body() || buffered_body_.size() > kBufferedBodyLimit)) {
     if (status() != 200) {
       return finish_attempt(outcome_of_response());
     }
     start_streaming_response();
   } else if (!response_stream_ && status() == 200 && !parser_->content_length() &&
              (response_.chunked() || !response_.keep_alive())) {
-    stream_response_soon();
+    schedule_streaming();
   }
   if (!is_active()) {
     return;
@@ -176,7 +178,7 @@
   if (response_stream_) {
     restart_stall_timer();
   }
-  // The parser has no limit for the head of a chunk, and the buffer throws when it is full.
+  // The parser does not limit the size line of a chunk, and a full buffer would throw.
   if (buffer_.size() + kReadChunk > buffer_.max_size()) {
     return finish_attempt(Outcome::server_error);
   }
@@ -186,7 +188,8 @@
 }
 
 void UpstreamConnection::complete_response(Reuse reuse) {
-  // After a response to an incomplete request the rest of the request would follow.
+  // The response came before the request was completely written: the host would take the next
+  // request for the rest of this one.
   if (state_ != State::reading) {
     reuse = Reuse::forbidden;
   }
@@ -200,14 +203,14 @@
 }
 
 bool UpstreamConnection::has_long_body() const {
-  return parser_->content_length() && *parser_->content_length() > kHoldLimit;
+  return parser_->content_length() && *parser_->content_length() > kBufferedBodyLimit;
 }
 
-bool UpstreamConnection::ends_before_connection() const {
+bool UpstreamConnection::has_delimited_body() const {
   return response_.chunked() || response_.has_content_length();
 }
 
-// Bytes after a complete response would be taken for the next response.
+// Bytes that follow a complete response would be taken for the next response.
 bool UpstreamConnection::can_reuse() const {
   return parser_->keep_alive() && buffer_.size() == 0;
 }
@@ -221,7 +224,8 @@
   if (is_overloaded && response_["X-Not-Run"] == "1") {
     return Outcome::rejected_by_host;
   }
-  // The protocol attributes these to the request, not to the host: other hosts would reject it too.
+  // By the protocol these are errors of the request, not of the host: other hosts would reject it
+  // too.
   if (response_.result() == beast_http::status::bad_request ||
       response_.result() == beast_http::status::not_found) {
     return Outcome::bad_request;
@@ -231,7 +235,7 @@
 
 // --- A response that is streamed before it is complete ---
 
-void UpstreamConnection::stream_response_soon() {
+void UpstreamConnection::schedule_streaming() {
   if (streaming_timer_generation_ == response_generation_) {
     return;
   }
@@ -240,19 +244,19 @@
   streaming_timer_.async_wait(
       [self = shared_from_this(), generation = response_generation_](error_code ec) {
         if (ec || generation != self->response_generation_ || self->state_ != State::reading ||
-            self->response_stream_ || self->held_body_.empty()) {
+            self->response_stream_ || self->buffered_body_.empty()) {
           return;
         }
         self->start_streaming_response();
       });
 }
 
-// The attempt is reported as successful now; the connection carries the rest of the response.
+// Reports the attempt as successful; the connection then carries the rest of the response.
 void UpstreamConnection::start_streaming_response() {
   const auto self = shared_from_this();
   limit_socket_buffers(socket_);
-  response_stream_ = std::make_shared<BodyStream>(owner_->buffers());
-  response_stream_->push(std::exchange(held_body_, {}));
+  response_stream_ = std::make_shared<BodyStream>(owner_->buffer_budget());
+  response_stream_->push(std::exchange(buffered_body_, {}));
   const std::weak_ptr<UpstreamConnection> weak = weak_from_this();
   response_stream_->on_writable = [weak] {
     const auto connection = weak.lock();
@@ -281,7 +285,8 @@
   owner_->report(std::move(completion));
 }
 
-// While the stream is full the client is waited for, and the listener limits that time.
+// While the stream is full, the gateway waits for the client, and the client's session limits the
+// time.
 void UpstreamConnection::restart_stall_timer() {
   if (response_stream_->full()) {
     ++timeout_generation_;
--- a/src/http/upstream_timeouts.hpp
+++ b/src/http/upstream_timeouts.hpp
@@ -1,4 +1,5 @@
-// Time limits of the connections to hosts.
+/// @file
+/// Time limits of the connections to hosts.
 #pragma once
 
 #include <chrono>
@@ -7,10 +8,10 @@
 
 namespace gateway::http {
 
-// A body that makes no progress for this long: the host is considered lost.
+/// A request or a response whose body makes no progress at the host for this long has failed.
 inline constexpr load_balancer::Duration kStallTimeout = std::chrono::seconds(10);
-// A response of unknown length is buffered for this long before it is streamed: most are short, and
-// until then a failed one can be replaced by a retry.
+/// A response of unknown length is buffered for this long before it is streamed: most of them are
+/// complete by then, and one that fails while it is buffered can be replaced by a retry's.
 inline constexpr load_balancer::Duration kStreamingDelay = std::chrono::milliseconds(100);
 
 }  // namespace gateway::http
--- a/src/runtime/clock.hpp
+++ b/src/runtime/clock.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The clock that timeouts are measured by, and its timers: the system's steady clock in service, a
-/// manual one in tests.
+/// The clock that timeouts are measured by, and its timers: the system's steady clock in the
+/// program, a manual one in tests.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -25,10 +25,11 @@
   /// even if its time had come.
   virtual void wait_until(std::chrono::steady_clock::time_point at,
                           std::function<void()> handler) = 0;
+  /// Cancels the wait, if there is one.
   virtual void cancel() = 0;
 };
 
-/// Must outlive its timers.
+/// Must outlive its timers. Used on the event loop's thread only.
 class Clock {
  public:
   virtual ~Clock() = default;
