--- a/src/fleet_state/fleet_state.cpp
+++ b/src/fleet_state/fleet_state.cpp
@@ -11,13 +11,14 @@
 namespace {
 
 constexpr std::size_t kMaxReportsPerPayload = 6;
-// How often each member sends a counter row that has grown.
+// The number of payloads in which each member sends a counter row after it has changed.
 constexpr unsigned kRowTransmissions = 2;
-// The own row is disseminated at this interval for each known member, so that the traffic of a
-// member does not grow with the fleet, but not more often than the minimum.
-constexpr Time kRowIntervalPerMember = std::chrono::milliseconds(100);
-constexpr Time kMinRowInterval = std::chrono::seconds(2);
-// A row that has not grown for so long belongs to a process that has ended.
+// The interval at which a member disseminates its own row is this duration multiplied by the number
+// of known members, so that the traffic of a member does not grow with the fleet, but at least
+// kMinOwnRowInterval.
+constexpr Time kOwnRowIntervalPerMember = std::chrono::milliseconds(100);
+constexpr Time kMinOwnRowInterval = std::chrono::seconds(2);
+// A row that has not changed for this duration belongs to a process that has ended.
 constexpr Time kRowRetention = std::chrono::seconds(300);
 
 Amount floor_to_amount(double tokens) {
@@ -32,7 +33,7 @@
       fingerprint_(fingerprint(config_)),
       own_{std::move(member), incarnation_id},
       slot_(now / config_.slot_duration),
-      first_slot_(slot_ + 1),
+      first_issue_slot_(slot_ + 1),
       retry_tokens_(config_.retry_token_lifetime_slots),
       limit_tokens_(config_.limits.size(), TokenEscrow(config_.limit_token_lifetime_slots)),
       fleet_counter_(kFirstLimit + config_.limits.size()),
@@ -55,13 +56,13 @@
   for (std::size_t i = 0; i < budget_count(); ++i) {
     budget(i).advance(slot);
   }
-  if (slot >= first_slot_ && is_bootstrapped_) {
+  if (slot >= first_issue_slot_ && is_bootstrapped_) {
     issue_limit_tokens();
   }
 }
 
-// In each slot a member issues itself its share of every limit. Members that cannot be reached
-// count as well: their share is theirs to spend.
+// In each slot every member issues itself an equal fraction of every limit. Unreachable members are
+// included in the divisor, because each may still run and spend its own fraction.
 void FleetState::issue_limit_tokens() {
   const auto members = static_cast<double>(std::max(view_.known_count, config_.min_members));
   const double seconds = std::chrono::duration<double>(config_.slot_duration).count();
@@ -81,9 +82,9 @@
         (!limit.tenant.empty() && limit.tenant != tenant)) {
       continue;
     }
-    const bool admits =
+    const bool is_admitted =
         is_bootstrapped_ ? limit_tokens_[i].held() >= kOneToken : limit.open_until_bootstrapped;
-    if (!admits) {
+    if (!is_admitted) {
       if (is_bootstrapped_) {
         limit_tokens_[i].record_demand();
       }
@@ -107,13 +108,13 @@
   return true;
 }
 
-// Excludes tokens of the oldest slot: the balancer may act on the result a moment later, in the
-// next slot, when those have expired.
+// Excludes tokens that expire at the end of the current slot: the balancer may act on the returned
+// number in the next slot.
 unsigned FleetState::allowed_retries() const {
   if (!has_retry_budget()) {
     return kUnlimited;
   }
-  return static_cast<unsigned>(retry_tokens_.unexpired() / kOneToken);
+  return static_cast<unsigned>(retry_tokens_.usable_in_next_slot() / kOneToken);
 }
 
 void FleetState::on_retry_sent(Time now) {
@@ -126,8 +127,9 @@
 }
 
 void FleetState::on_attempt_result(Time now, const std::string& host, bool success) {
-  // The balancer never asks for a retry that is not allowed, so a failure stands for one.
-  if (!success && has_retry_budget() && retry_tokens_.unexpired() < kOneToken) {
+  // The balancer requests no retry that allowed_retries() excludes, so without a usable token each
+  // failure counts as demand for a retry.
+  if (!success && has_retry_budget() && retry_tokens_.usable_in_next_slot() < kOneToken) {
     advance_slot(now);
     retry_tokens_.record_demand();
   }
@@ -136,8 +138,8 @@
   }
 }
 
-// Which of two members that both hold less than one token receives the other's. The order differs
-// from slot to slot, so that every member has its turn.
+// Whether a peer with demand may receive all that this member holds if that is less than one token.
+// The order of precedence differs from slot to slot, so that no member is always last.
 bool FleetState::has_precedence(std::string_view peer) const {
   const auto rank = [this](std::string_view name) {
     return XXH3_64bits_withSeed(name.data(), name.size(), static_cast<std::uint64_t>(slot_));
@@ -160,15 +162,15 @@
 
 void FleetState::disseminate_own_row(Time now) {
   const Time interval = std::max<Time>(
-      kMinRowInterval, kRowIntervalPerMember * static_cast<Time::rep>(view_.known_count));
-  if (now - own_row_sent_at_ >= interval && fleet_counter_.rows().contains(own_)) {
-    own_row_sent_at_ = now;
-    rows_[own_] = {now, 0};
+      kMinOwnRowInterval, kOwnRowIntervalPerMember * static_cast<Time::rep>(view_.known_count));
+  if (now - own_row_scheduled_at_ >= interval && fleet_counter_.rows().contains(own_)) {
+    own_row_scheduled_at_ = now;
+    row_dissemination_[own_] = {now, 0};
   }
 }
 
 void FleetState::forget_finished_rows(Time now) {
-  std::erase_if(rows_, [&](const auto& entry) {
+  std::erase_if(row_dissemination_, [&](const auto& entry) {
     if (entry.first == own_ || now - entry.second.changed_at < kRowRetention) {
       return false;
     }
@@ -179,7 +181,7 @@
 
 bool FleetState::has_urgent_update() const {
   const auto needs_tokens = [](const TokenEscrow& tokens) {
-    return tokens.held() < kOneToken && tokens.demand() >= kOneToken;
+    return tokens.held() < kOneToken && tokens.shortfall() >= kOneToken;
   };
   if (has_retry_budget() && needs_tokens(retry_tokens_)) {
     return true;
@@ -192,7 +194,8 @@
 
 // --- Sending payloads
 
-// Collects the parts of a payload as long as their encoding fits.
+// Builds a payload from entries, and leaves out those with which the encoding would exceed the
+// maximum size.
 class FleetState::PayloadBuilder {
  public:
   PayloadBuilder(Payload payload, std::uint32_t fingerprint, std::size_t max_bytes)
@@ -242,11 +245,11 @@
 Payload FleetState::token_payload_for(std::string_view member) {
   Payload payload;
   payload.sender_id = own_.id;
-  const auto peer = peer_ids_.find(member);
-  payload.recipient_id = peer == peer_ids_.end() ? 0 : peer->second;
+  const auto peer = peer_incarnation_ids_.find(member);
+  payload.recipient_id = peer == peer_incarnation_ids_.end() ? 0 : peer->second;
   for (std::size_t i = has_retry_budget() ? 0 : 1; i < budget_count(); ++i) {
-    if (const Amount demand = budget(i).demand(); demand > 0) {
-      payload.demands.push_back({i, std::min(demand, kMaxAmount)});
+    if (const Amount shortfall = budget(i).shortfall(); shortfall > 0) {
+      payload.demands.push_back({i, std::min(shortfall, kMaxAmount)});
     }
     if (payload.recipient_id == 0) {
       continue;
@@ -269,14 +272,15 @@
 }
 
 void FleetState::add_counter_row(PayloadBuilder& builder) {
-  auto next = rows_.end();
-  for (auto it = rows_.begin(); it != rows_.end(); ++it) {
+  auto next = row_dissemination_.end();
+  for (auto it = row_dissemination_.begin(); it != row_dissemination_.end(); ++it) {
     const bool is_due = it->second.transmissions < kRowTransmissions;
-    if (is_due && (next == rows_.end() || it->second.transmissions < next->second.transmissions)) {
+    if (is_due && (next == row_dissemination_.end() ||
+                   it->second.transmissions < next->second.transmissions)) {
       next = it;
     }
   }
-  if (next == rows_.end()) {
+  if (next == row_dissemination_.end()) {
     return;
   }
   const GrowOnlyCounter::Row& row = fleet_counter_.rows().at(next->first);
@@ -302,13 +306,13 @@
 }
 
 bool FleetState::apply_payload(Time now, const std::string& from, const Payload& payload) {
-  peer_ids_[from] = payload.sender_id;
+  peer_incarnation_ids_[from] = payload.sender_id;
   const Incarnation sender{from, payload.sender_id};
   bool is_plausible = apply_transfers(sender, payload);
   serve_demands(sender, payload);
   for (const auto& [owner, row] : payload.counter_rows) {
     if (owner != own_ && fleet_counter_.merge(owner, row)) {
-      rows_[owner] = {now, 0};
+      row_dissemination_[owner] = {now, 0};
     }
   }
   if (config_.shares_host_health) {
@@ -321,11 +325,11 @@
 
 bool FleetState::apply_transfers(const Incarnation& sender, const Payload& payload) {
   if (payload.recipient_id != own_.id) {
-    return true;  // for an earlier process of this member, whose tokens are lost
+    return true;  // for a previous process of this member; those tokens expire unspent
   }
   bool is_plausible = true;
-  for (const auto& [i, transfers] : payload.transfers) {
-    is_plausible &= budget(i).receive(sender, transfers);
+  for (const auto& [budget_index, transfers] : payload.transfers) {
+    is_plausible &= budget(budget_index).receive(sender, transfers);
   }
   return is_plausible;
 }
@@ -333,9 +337,9 @@
 void FleetState::serve_demands(const Incarnation& sender, const Payload& payload) {
   for (const BudgetDemand& demand : payload.demands) {
     TokenEscrow& tokens = budget(demand.budget);
-    const Amount before = tokens.held();
+    const Amount held_before = tokens.held();
     tokens.transfer(sender, demand.amount, has_precedence(sender.member));
-    if (tokens.held() < before) {
+    if (tokens.held() < held_before) {
       pending_transfers_.insert(sender.member);
     }
   }
--- a/src/fleet_state/fleet_state.hpp
+++ b/src/fleet_state/fleet_state.hpp
@@ -1,6 +1,6 @@
-// Everything that a gateway shares with its fleet: a retry budget, rate limits and host health.
-// Events and payloads go in, decisions and payloads come out. Used only if an operator file
-// configures it; see docs/fleet.md and docs/design/shared-state.md.
+// The state that a gateway shares with its fleet: a retry budget, rate limits and host health.
+// The caller passes in events and received payloads, and obtains decisions and payloads to send.
+// Used only if an operator file configures it; see docs/fleet.md and docs/design/shared-state.md.
 //
 // Pure: no I/O, clock or globals. Not thread-safe.
 #pragma once
@@ -20,38 +20,46 @@
 
 namespace gateway::fleet_state {
 
+// One member's part of the shared state. `now` is Unix time in all functions, see Time.
 class FleetState {
  public:
   static constexpr unsigned kUnlimited = UINT32_MAX;
 
-  // The quantities that the fleet counts; the admissions of each limit follow from kFirstLimit on.
+  // Indices of the quantities in fleet_counter(). The admitted requests of limit i have the index
+  // kFirstLimit + i.
   static constexpr std::size_t kRequests = 0;
   static constexpr std::size_t kRetries = 1;
   static constexpr std::size_t kFirstLimit = 2;
 
-  // `incarnation_id`: not used by any other process of this member. Tokens of limits are issued
-  // from the next slot on, because an earlier process may have spent those of the current one.
+  // `incarnation_id`: not 0, and different for each process of this member. Tokens of limits are
+  // issued from the next slot on, because a previous process of this member may have spent those of
+  // the current slot.
   FleetState(FleetStateConfig config, std::string member, std::uint64_t incarnation_id, Time now);
 
-  // Decides whether a request is admitted, and counts it if so. Otherwise it is to be rejected.
+  // Whether a request is admitted; if so, counts it and spends a token of each limit that applies.
+  // The caller rejects a request that is not admitted.
   bool try_admit(Time now, std::string_view request_class, std::string_view tenant);
+  // Counts a retry and spends a token of the retry budget.
   void on_retry_sent(Time now);
-  // How many retries may be sent now; kUnlimited without a retry budget.
+  // The number of retries that may be sent now; kUnlimited without a retry budget.
   unsigned allowed_retries() const;
   void on_attempt_result(Time now, const std::string& host, bool success);
+  // Sets the hosts that discovery lists.
   void on_hosts(std::vector<std::string> hosts) { consensus_.on_hosts(std::move(hosts)); }
-  void on_tick(Time now, const FleetView& view);  // about ten times a second
+  // To be called about ten times a second.
+  void on_tick(Time now, const FleetView& view);
 
-  // The payload for a member, at most `max_bytes` long; empty: nothing to send.
+  // The payload to send to a member, at most `max_bytes` long; empty: nothing to send. Counts its
+  // contents as sent.
   std::string payload_for(std::string_view member, std::size_t max_bytes);
-  // A payload that a member sent from its own address. False if it is malformed, of another
-  // configuration or not plausible; that is counted.
+  // Handles a payload from the member `from`, whose address the caller has verified. False if it is
+  // malformed, of another configuration or not plausible; see counters().
   bool on_payload(Time now, const std::string& from, std::string_view data);
-  // Whether something is urgent enough for a message of its own: tokens are needed, or a health
-  // report is new.
+  // Whether the caller should send a payload at once instead of with the next membership message:
+  // tokens are needed, or a health report has not been sent yet.
   bool has_urgent_update() const;
-  // Members that tokens were transferred to and that do not know it yet; the caller sends each a
-  // message.
+  // Members to which tokens were transferred that no payload has reported to them yet. The caller
+  // sends each a message with the payload_for() it.
   std::vector<std::string> pending_transfers() const {
     return {pending_transfers_.begin(), pending_transfers_.end()};
   }
@@ -62,7 +70,7 @@
     std::uint64_t rejected = 0;
     std::uint64_t retries = 0;
     std::uint64_t retries_overdrawn = 0;  // sent without a token
-    std::uint64_t bad_payloads = 0;
+    std::uint64_t bad_payloads = 0;       // malformed or not plausible
     std::uint64_t other_config = 0;       // payloads of another configuration
     std::vector<std::uint64_t> admitted;  // by limit
   };
@@ -74,13 +82,15 @@
   bool is_bootstrapped() const { return is_bootstrapped_; }
 
  private:
-  // How often a counter row was sent since it last grew.
+  // The dissemination of a counter row since its last change. This member's own row counts as
+  // changed at regular intervals.
   struct DisseminationState {
     Time changed_at{};
     unsigned transmissions = 0;
   };
   class PayloadBuilder;
 
+  // Budget 0 is the retry budget, the others are the limits in the order of the configuration.
   std::size_t budget_count() const { return 1 + limit_tokens_.size(); }
   TokenEscrow& budget(std::size_t i) { return i == 0 ? retry_tokens_ : limit_tokens_[i - 1]; }
   bool has_retry_budget() const { return config_.retry_ratio.has_value(); }
@@ -101,15 +111,16 @@
   std::uint32_t fingerprint_;
   Incarnation own_;
   Slot slot_;
-  Slot first_slot_;  // in which tokens of limits are issued
+  Slot first_issue_slot_;  // the first slot for which tokens of limits are issued
   TokenEscrow retry_tokens_;
   std::vector<TokenEscrow> limit_tokens_;
   GrowOnlyCounter fleet_counter_;
-  std::map<Incarnation, DisseminationState> rows_;
-  Time own_row_sent_at_{};
+  std::map<Incarnation, DisseminationState> row_dissemination_;
+  Time own_row_scheduled_at_{};
   OutlierConsensus consensus_;
   std::set<std::string, std::less<>> pending_transfers_;
-  std::map<std::string, std::uint64_t, std::less<>> peer_ids_;  // incarnations heard from directly
+  std::map<std::string, std::uint64_t, std::less<>>
+      peer_incarnation_ids_;  // of the last payload from each member
   FleetView view_;
   bool is_bootstrapped_ = false;
   Counters counters_;
--- a/src/fleet_state/fleet_state_config.cpp
+++ b/src/fleet_state/fleet_state_config.cpp
@@ -7,7 +7,7 @@
 
 namespace gateway::fleet_state {
 
-// The text that is hashed must not change: gateways of different builds compare the result.
+// The hashed text must not change between builds: gateways of different builds compare the hashes.
 std::uint32_t fingerprint(const FleetStateConfig& config) {
   constexpr double kNoRetryBudget = -1;
   const OutlierConsensusSettings& consensus = config.outlier_consensus;
--- a/src/fleet_state/outlier_consensus.cpp
+++ b/src/fleet_state/outlier_consensus.cpp
@@ -9,27 +9,30 @@
 namespace gateway::fleet_state {
 namespace {
 
-// How far a peer's clock may be ahead before its reports are not plausible.
+// Reports from further in the future are rejected; this much allows for peers' clocks that are
+// ahead.
 constexpr std::int64_t kMaxClockLeadMs = 5000;
-// Hosts that an observer must find unhealthy before it is suspected to be faulty itself.
-constexpr std::size_t kMinForUntrusted = 3;
-// Suspicions are less reliable than unhealthy reports, so an observer stays trusted up to this
-// multiple of the maximum ejected fraction.
-constexpr double kSuspicionTolerance = 2;
-// Absorbs rounding in sums of weighted results.
+// Fewer findings than this never count as excessive, because in a small set of hosts one or two
+// unhealthy ones already exceed the fraction.
+constexpr std::size_t kMinExcessiveCount = 3;
+// Multiple of the maximum ejected fraction up to which suspicions are plausible. More of them are
+// tolerated than of unhealthy reports, because a single failure can make a host suspect.
+constexpr double kSuspicionFractionFactor = 2;
+// Tolerance for rounding errors in sums of weighted results.
 constexpr double kEpsilon = 1e-9;
 
-// Whether this number of findings, beyond the given fraction of all, say more about the observer
-// than about the hosts.
-bool is_excessive(std::size_t found, double fraction, std::size_t all) {
-  return found >= kMinForUntrusted &&
-         static_cast<double>(found) > fraction * static_cast<double>(all);
+// Whether an observer has so many negative findings, more than `max_fraction` of `total`, that a
+// fault of the observer is more likely than as many unhealthy hosts.
+bool is_excessive(std::size_t count, double max_fraction, std::size_t total) {
+  return count >= kMinExcessiveCount &&
+         static_cast<double>(count) > max_fraction * static_cast<double>(total);
 }
 
 std::int64_t to_ms(std::chrono::nanoseconds duration) {
   return duration / std::chrono::milliseconds(1);
 }
 
+// The hash by which all gateways order hosts and observers alike.
 std::uint64_t rank_of(const std::string& name) {
   return XXH3_64bits(name.data(), name.size());
 }
@@ -40,13 +43,14 @@
 
 void OutlierConsensus::on_hosts(std::vector<std::string> hosts) {
   hosts_ = {hosts.begin(), hosts.end()};
-  const auto is_about_unlisted = [this](const auto& entry) {
+  const auto is_on_unlisted_host = [this](const auto& entry) {
     return !hosts_.contains(entry.first.host);
   };
   std::erase_if(own_results_, [this](const auto& entry) { return !hosts_.contains(entry.first); });
-  std::erase_if(reports_, is_about_unlisted);
-  std::erase_if(transmissions_, is_about_unlisted);
-  relayed_.remove_hosts_unless([this](const std::string& host) { return hosts_.contains(host); });
+  std::erase_if(reports_, is_on_unlisted_host);
+  std::erase_if(transmissions_, is_on_unlisted_host);
+  relayed_reports_.remove_hosts_unless(
+      [this](const std::string& host) { return hosts_.contains(host); });
 }
 
 void OutlierConsensus::on_attempt_result(Time now, const std::string& host, bool success) {
@@ -60,7 +64,7 @@
 bool OutlierConsensus::on_report(Time now, const std::string& sender, const HealthReportKey& key,
                                  const HealthReport& report) {
   if (key.observer == own_.member) {
-    return true;  // our own report, sent back to us
+    return true;  // this gateway's own report, returned by a relay
   }
   if (report.created_at_ms > to_ms(now) + kMaxClockLeadMs ||
       report.status > HealthStatus::unhealthy) {
@@ -78,7 +82,7 @@
     accept(key, report);
     return true;
   }
-  const RelayedReports::AddResult result = relayed_.add(sender, key, report);
+  const RelayedReports::AddResult result = relayed_reports_.add(sender, key, report);
   if (result == RelayedReports::AddResult::dropped) {
     ++dropped_reports_;
     return false;
@@ -94,25 +98,27 @@
     return;
   }
   transmissions_.erase(key);
-  // The report of a second observer may be the reason to disseminate the first one's as well.
+  // A report of a second observer may turn an earlier suspicion on the same host into a shared one,
+  // which is to be disseminated as well.
   for (const auto& [other_key, other_report] : reports_) {
     if (other_key.host == key.host && !transmissions_.contains(other_key) &&
         should_disseminate(other_key, other_report)) {
       transmissions_[other_key] = 0;
     }
   }
-  relayed_.remove(key);
+  relayed_reports_.remove(key);
 }
 
 // --- Dissemination
 
-// A few more reports than the quorum suffice for everybody, and the order of the observers' hashes
-// makes all members choose the same ones.
+// A few more reports on a host than a quorum needs are enough for every member, so the remaining
+// ones are not disseminated. All members choose the same reports, because they order the observers
+// by the hash of their names.
 bool OutlierConsensus::should_disseminate(const HealthReportKey& key,
                                           const HealthReport& report) const {
   const bool is_suspicion = report.status == HealthStatus::suspect;
-  // A single failure does not justify a broadcast, so only its observer sends a suspicion that no
-  // other observer shares.
+  // A suspicion may stem from a single failure, which does not justify a broadcast by the whole
+  // fleet: until another observer shares it, only its own observer sends it.
   if (is_suspicion && key.observer != own_.member && !is_shared_suspicion(key)) {
     return false;
   }
@@ -123,10 +129,11 @@
       ++preceding;
     }
   }
-  // A quorum of suspicions consists of as many as there are failures to a quorum.
-  const std::size_t sufficient =
+  // Each suspicion may contribute as little as one failure, so as many suspicions are needed as
+  // there are failures in a quorum.
+  const std::size_t needed =
       is_suspicion ? settings_.quorum * settings_.min_failures : settings_.quorum;
-  return preceding < sufficient + settings_.quorum;
+  return preceding < needed + settings_.quorum;
 }
 
 bool OutlierConsensus::is_shared_suspicion(const HealthReportKey& key) const {
@@ -138,8 +145,8 @@
 
 bool OutlierConsensus::is_due(const TransmissionCounts::value_type& sent,
                               unsigned transmissions) const {
-  const bool own = sent.first.observer == own_.member;
-  return sent.second < (own ? 2 * transmissions : transmissions);
+  const bool is_own = sent.first.observer == own_.member;
+  return sent.second < (is_own ? 2 * transmissions : transmissions);
 }
 
 std::vector<std::pair<HealthReportKey, HealthReport>> OutlierConsensus::reports_to_send(
@@ -173,9 +180,10 @@
                      [&](const auto& sent) { return is_due(sent, transmissions); });
 }
 
-// A report counts only once two relays brought it, so with k transmissions by each member it dies
-// out while fewer than 2 / k^2 of the members have it. The observer's own k transmissions reach k
-// of n members. k / n > 2 / k^2 gives the cube root of 2n; the factor is a safety margin.
+// A member accepts a report only after two relays have sent it. With k transmissions by each member
+// the report therefore stops spreading while fewer than 2 / k^2 of the members have accepted it.
+// The observer's own k transmissions reach k of the n members directly, so k / n > 2 / k^2 must
+// hold, which gives k > cbrt(2n).
 unsigned OutlierConsensus::transmissions_for(std::size_t members) {
   constexpr double kSafetyMargin = 1.5;
   return static_cast<unsigned>(
@@ -199,10 +207,10 @@
     transmissions_.erase(entry.first);
     return true;
   });
-  relayed_.remove_older_than(oldest_ms);
+  relayed_reports_.remove_older_than(oldest_ms);
 }
 
-std::set<std::string> OutlierConsensus::hosts_doubted_by_others() const {
+std::set<std::string> OutlierConsensus::hosts_suspected_by_others() const {
   std::set<std::string> hosts;
   for (const auto& [key, report] : reports_) {
     if (key.observer != own_.member && report.status != HealthStatus::healthy) {
@@ -214,27 +222,28 @@
 
 HealthStatus OutlierConsensus::status_of(const ResultCounts& counts) const {
   const std::uint32_t results = counts.successes + counts.failures;
-  const double failed = results > 0 ? static_cast<double>(counts.failures) / results : 0;
-  if (counts.failures >= settings_.min_failures && failed >= settings_.unhealthy_fraction) {
+  const double failed_fraction = results > 0 ? static_cast<double>(counts.failures) / results : 0;
+  if (counts.failures >= settings_.min_failures &&
+      failed_fraction >= settings_.unhealthy_fraction) {
     return HealthStatus::unhealthy;
   }
-  if (counts.failures >= 1 && failed >= settings_.suspect_fraction) {
+  if (counts.failures >= 1 && failed_fraction >= settings_.suspect_fraction) {
     return HealthStatus::suspect;
   }
   return HealthStatus::healthy;
 }
 
 OutlierConsensus::OwnFindings OutlierConsensus::evaluate_own_results(Time now) {
-  const std::int64_t last_before_window =
+  const std::int64_t last_second_before_window =
       now / std::chrono::seconds(1) - settings_.window / std::chrono::seconds(1);
-  const std::set<std::string> doubted = hosts_doubted_by_others();
+  const std::set<std::string> suspected_by_others = hosts_suspected_by_others();
   OwnFindings findings;
   for (auto& [host, seconds] : own_results_) {
-    seconds.erase(seconds.begin(), seconds.upper_bound(last_before_window));
+    seconds.erase(seconds.begin(), seconds.upper_bound(last_second_before_window));
     ResultCounts counts;
-    for (const auto& [second, of_second] : seconds) {
-      counts.successes += of_second.successes;
-      counts.failures += of_second.failures;
+    for (const auto& [second, second_counts] : seconds) {
+      counts.successes += second_counts.successes;
+      counts.failures += second_counts.failures;
     }
     findings.results += counts.successes + counts.failures;
     findings.failures += counts.failures;
@@ -245,9 +254,9 @@
     if (report.status == HealthStatus::unhealthy) {
       ++findings.unhealthy_hosts;
     }
-    // A healthy host is reported only if another observer doubts it.
-    const bool vouches = counts.successes > 0 && doubted.contains(host);
-    if (report.status != HealthStatus::healthy || vouches) {
+    // A healthy host is reported only if another observer finds it suspect or unhealthy.
+    const bool contradicts_others = counts.successes > 0 && suspected_by_others.contains(host);
+    if (report.status != HealthStatus::healthy || contradicts_others) {
       findings.reports.emplace(host, report);
     }
   }
@@ -255,34 +264,37 @@
   return findings;
 }
 
-// A gateway that is cut off from the hosts finds all of them unhealthy. That says more about
-// itself, so it publishes nothing beyond the fraction of hosts that may be ejected.
+// A gateway that is disconnected from the hosts finds all of them unhealthy although they are not.
+// It therefore publishes no report at all if it finds more hosts unhealthy than may be ejected, and
+// no suspicion if too many of its attempts failed.
 void OutlierConsensus::publish(Time now, const OwnFindings& findings) {
   if (is_excessive(findings.unhealthy_hosts, settings_.max_ejected_fraction, hosts_.size())) {
     return;
   }
-  const bool suspicions_unreliable = is_excessive(
-      findings.failures, kSuspicionTolerance * settings_.max_ejected_fraction, findings.results);
+  const bool suspicions_are_unreliable =
+      is_excessive(findings.failures, kSuspicionFractionFactor * settings_.max_ejected_fraction,
+                   findings.results);
   for (const auto& [host, finding] : findings.reports) {
-    if (suspicions_unreliable && finding.status == HealthStatus::suspect) {
+    if (suspicions_are_unreliable && finding.status == HealthStatus::suspect) {
       continue;
     }
     const HealthReportKey key{own_.member, host};
     const auto previous = reports_.find(key);
-    const bool published = previous != reports_.end();
-    if (published && previous->second.status == finding.status &&
+    const bool is_published = previous != reports_.end();
+    if (is_published && previous->second.status == finding.status &&
         to_ms(now) - previous->second.created_at_ms < to_ms(settings_.report_lifetime) / 2) {
       continue;
     }
     HealthReport report = finding;
     report.incarnation_id = own_.id;
-    report.sequence = published ? previous->second.sequence + 1 : 1;
+    report.sequence = is_published ? previous->second.sequence + 1 : 1;
     report.created_at_ms = to_ms(now);
     accept(key, report);
   }
 }
 
-// Observers that find so many hosts unhealthy or suspect that they are likely to be faulty.
+// Observers that find so many hosts unhealthy or suspect that they are likely to be faulty
+// themselves. Their reports are not tallied.
 std::set<std::string> OutlierConsensus::untrusted_observers() const {
   struct Findings {
     std::size_t unhealthy = 0;
@@ -298,7 +310,8 @@
   std::set<std::string> untrusted;
   for (const auto& [observer, findings] : by_observer) {
     if (is_excessive(findings.unhealthy, max_unhealthy, hosts_.size()) ||
-        is_excessive(findings.not_healthy, kSuspicionTolerance * max_unhealthy, hosts_.size())) {
+        is_excessive(findings.not_healthy, kSuspicionFractionFactor * max_unhealthy,
+                     hosts_.size())) {
       untrusted.insert(observer);
     }
   }
@@ -318,7 +331,7 @@
     const double weight = std::min(1.0, settings_.min_failures / std::max(results, 1.0));
     if (report.status == HealthStatus::healthy) {
       ++tally.healthy_observers;
-      tally.successes += weight * results;  // its few failures do not count against the host
+      tally.successes += weight * results;  // its failures are too few to count against the host
       continue;
     }
     tally.unhealthy_observers += report.status == HealthStatus::unhealthy ? 1 : 0;
@@ -340,14 +353,15 @@
          tally.failures > settings_.unhealthy_fraction * (tally.failures + tally.successes);
 }
 
-// Which hosts are chosen if too many qualify depends on their names alone, so that gateways with
-// the same reports choose the same hosts. In a network partition each part may eject only its share
-// of the maximum, so that all parts together respect it.
+// If more hosts are unhealthy than may be ejected, the order of their names' hashes decides, so
+// that gateways with the same reports eject the same hosts. In a network partition each part may
+// eject only the fraction of the maximum that its alive members are of all known members, so that
+// all parts together stay within the maximum.
 void OutlierConsensus::update_ejected(const FleetView& view) {
   const auto known = static_cast<double>(std::max<std::size_t>(view.known_count, 1));
-  const double reachable = std::min(static_cast<double>(view.alive_count) / known, 1.0);
+  const double alive_fraction = std::min(static_cast<double>(view.alive_count) / known, 1.0);
   const double max_ejected =
-      settings_.max_ejected_fraction * static_cast<double>(hosts_.size()) * reachable;
+      settings_.max_ejected_fraction * static_cast<double>(hosts_.size()) * alive_fraction;
   max_ejected_ = static_cast<std::size_t>(std::floor(max_ejected + kEpsilon));
   std::vector<std::pair<std::uint64_t, std::string>> unhealthy;
   for (const auto& [host, tally] : tally_reports(view)) {
--- a/src/fleet_state/payload.cpp
+++ b/src/fleet_state/payload.cpp
@@ -12,7 +12,7 @@
 constexpr std::size_t kMaxQuantities = 64;    // in a counter row
 constexpr std::size_t kMaxListEntries = 256;  // in one list of a payload
 
-// Positions of the fields in a payload's array.
+// Positions of the fields in a payload's array; part of the payload format.
 namespace payload_field {
 enum Position : std::size_t {
   fingerprint,
@@ -26,11 +26,12 @@
 };
 }  // namespace payload_field
 
-// Thrown and caught within this file only.
+// Thrown by the read functions and caught in decode_payload().
 struct MalformedPayload : std::runtime_error {
   MalformedPayload() : std::runtime_error("malformed payload") {}
 };
 
+// Returns the value, an array of at most kMaxListEntries elements.
 const json& read_list(const json& value) {
   if (!value.is_array() || value.size() > kMaxListEntries) {
     throw MalformedPayload();
@@ -38,7 +39,7 @@
   return value;
 }
 
-// An array of exactly this size.
+// Returns the value, an array of exactly `size` elements.
 const json& read_tuple(const json& value, std::size_t size) {
   if (!value.is_array() || value.size() != size) {
     throw MalformedPayload();
@@ -57,7 +58,7 @@
   return static_cast<std::uint32_t>(read_number(value, UINT32_MAX));
 }
 
-// A time or slot. The bound leaves room for additions without overflow.
+// A time in milliseconds or a slot. The bound lets callers add two of them without overflow.
 std::int64_t read_time(const json& value) {
   return static_cast<std::int64_t>(read_number(value, INT64_MAX / 2));
 }
@@ -134,8 +135,8 @@
     demands.push_back({demand.budget, demand.amount});
   }
   json transfers = json::array();
-  for (const auto& [budget, of_budget] : payload.transfers) {
-    for (const TokenTransfer& transfer : of_budget) {
+  for (const auto& [budget, budget_transfers] : payload.transfers) {
+    for (const TokenTransfer& transfer : budget_transfers) {
       transfers.push_back({budget, transfer.slot, transfer.total});
     }
   }
--- a/src/fleet_state/relayed_reports.cpp
+++ b/src/fleet_state/relayed_reports.cpp
@@ -5,9 +5,11 @@
 namespace gateway::fleet_state {
 namespace {
 
-constexpr std::size_t kMaxRelays = 8;  // remembered for one report
-// Keys that one relay may be the first to bring. This bounds the memory that a flood can take.
-constexpr std::size_t kMaxOpenedByRelay = 256;
+// Relays whose latest report is kept for each key. Reports of further relays are ignored.
+constexpr std::size_t kMaxRelays = 8;
+// Pending keys for which one relay may be the first to send a report. Bounds the memory that a
+// flood of reports from one relay can occupy.
+constexpr std::size_t kMaxFirstRelayedKeys = 256;
 
 }  // namespace
 
@@ -15,22 +17,22 @@
                                               const HealthReport& report) {
   auto it = pending_.find(key);
   if (it == pending_.end()) {
-    std::size_t& opened = opened_by_relay_[relay];
-    if (opened >= kMaxOpenedByRelay) {
+    std::size_t& first_relayed_count = first_relayed_counts_[relay];
+    if (first_relayed_count >= kMaxFirstRelayedKeys) {
       return AddResult::dropped;
     }
-    ++opened;
+    ++first_relayed_count;
     it = pending_.emplace(key, PendingReport{relay, {}}).first;
   }
-  auto& latest = it->second.latest_by_relay;
-  if (latest.size() >= kMaxRelays && !latest.contains(relay)) {
+  auto& latest_by_relay = it->second.latest_by_relay;
+  if (latest_by_relay.size() >= kMaxRelays && !latest_by_relay.contains(relay)) {
     return AddResult::pending;
   }
-  latest[relay] = report;
-  const bool confirmed = std::any_of(latest.begin(), latest.end(), [&](const auto& entry) {
-    return entry.first != relay && entry.second == report;
-  });
-  return confirmed ? AddResult::confirmed : AddResult::pending;
+  latest_by_relay[relay] = report;
+  const bool is_confirmed = std::any_of(
+      latest_by_relay.begin(), latest_by_relay.end(),
+      [&](const auto& entry) { return entry.first != relay && entry.second == report; });
+  return is_confirmed ? AddResult::confirmed : AddResult::pending;
 }
 
 template <class Predicate>
@@ -39,9 +41,9 @@
     if (!predicate(entry.first, entry.second)) {
       return false;
     }
-    const auto opened = opened_by_relay_.find(entry.second.first_relay);
-    if (opened != opened_by_relay_.end() && --opened->second == 0) {
-      opened_by_relay_.erase(opened);
+    const auto count = first_relayed_counts_.find(entry.second.first_relay);
+    if (count != first_relayed_counts_.end() && --count->second == 0) {
+      first_relayed_counts_.erase(count);
     }
     return true;
   });
--- a/src/fleet_state/token_escrow.cpp
+++ b/src/fleet_state/token_escrow.cpp
@@ -15,7 +15,7 @@
     totals_.expired += held_by_slot_.begin()->second;
     held_by_slot_.erase(held_by_slot_.begin());
   }
-  drop_expired(requested_);
+  drop_expired(demand_by_slot_);
   drop_expired(transferred_);
   drop_expired(received_);
 }
@@ -59,17 +59,17 @@
   if (held_ < kOneToken) {
     return false;
   }
-  for (Amount due = kOneToken; due > 0;) {
+  for (Amount remaining = kOneToken; remaining > 0;) {
     const auto oldest = held_by_slot_.begin();
-    const Amount part = std::min(due, oldest->second);
-    remove_from(oldest, part);
-    due -= part;
+    const Amount amount = std::min(remaining, oldest->second);
+    remove_from(oldest, amount);
+    remaining -= amount;
   }
   totals_.spent += kOneToken;
   return true;
 }
 
-Amount TokenEscrow::unexpired() const {
+Amount TokenEscrow::usable_in_next_slot() const {
   if (held_by_slot_.empty()) {
     return held_;
   }
@@ -78,32 +78,32 @@
   return expires_next ? held_ - oldest_amount : held_;
 }
 
-Amount TokenEscrow::recent_requests() const {
+Amount TokenEscrow::recent_demand() const {
   Amount sum = 0;
-  for (const auto& [slot, amount] : requested_) {
+  for (const auto& [slot, amount] : demand_by_slot_) {
     sum += amount;
   }
   return sum;
 }
 
-Amount TokenEscrow::demand() const {
-  return std::max<Amount>(recent_requests() - held_, 0);
+Amount TokenEscrow::shortfall() const {
+  return std::max<Amount>(recent_demand() - held_, 0);
 }
 
-void TokenEscrow::transfer(const Incarnation& to, Amount wanted, bool peer_has_precedence) {
-  const Amount own_requests = recent_requests();
-  const bool pass_on_fraction = held_ < kOneToken && peer_has_precedence;
+void TokenEscrow::transfer(const Incarnation& to, Amount requested, bool peer_has_precedence) {
+  const Amount own_demand = recent_demand();
+  const bool transfers_fraction = held_ < kOneToken && peer_has_precedence;
   const Amount spare =
-      own_requests == 0 || pass_on_fraction ? held_ : std::max<Amount>(held_ - own_requests, 0) / 2;
-  // The newest tokens go first: they remain usable for longest, which the way to the peer takes
-  // from.
-  for (Amount remaining = std::min(wanted, spare); remaining > 0;) {
+      own_demand == 0 || transfers_fraction ? held_ : std::max<Amount>(held_ - own_demand, 0) / 2;
+  // The newest tokens are transferred first: the message to the peer takes up part of the tokens'
+  // lifetime, and these have the longest left.
+  for (Amount remaining = std::min(requested, spare); remaining > 0;) {
     const auto newest = std::prev(held_by_slot_.end());
-    const Amount part = std::min(remaining, newest->second);
-    transferred_[to][newest->first] += part;
-    totals_.transferred += part;
-    remaining -= part;
-    remove_from(newest, part);
+    const Amount amount = std::min(remaining, newest->second);
+    transferred_[to][newest->first] += amount;
+    totals_.transferred += amount;
+    remaining -= amount;
+    remove_from(newest, amount);
   }
 }
 
@@ -118,8 +118,8 @@
 }
 
 bool TokenEscrow::receive(const Incarnation& from, const std::vector<TokenTransfer>& transfers) {
-  // The peer's clock may be a little ahead. Tokens of a slot further ahead would outlive their
-  // time.
+  // The peer's clock may be ahead by up to one slot. Tokens of a later slot would stay spendable
+  // beyond their lifetime.
   const auto is_plausible = [this](const TokenTransfer& transfer) {
     return transfer.total >= 0 && transfer.total <= kMaxAmount && transfer.slot <= now_ + 1;
   };
--- a/src/fleet_state/token_escrow.hpp
+++ b/src/fleet_state/token_escrow.hpp
@@ -1,7 +1,8 @@
-// Tokens for an operation that a whole fleet may perform only so often. Each token is held by one
-// member at a time: the bounded counter of Balegas et al. (2015) with tokens that expire by time
-// slot. A member spends only what it holds, so no loss, delay, duplication of messages or network
-// partition lets the fleet spend a token twice.
+// One member's part of a token escrow, which bounds how often a whole fleet performs an operation.
+// Each token is held by one member at a time: the bounded counter of Balegas et al. (2015) with
+// tokens that expire by time slot. A member spends only tokens that it holds, so the fleet never
+// spends a token twice, even if messages are lost, delayed or duplicated or the network is
+// partitioned.
 //
 // Pure: no I/O and no clock. Not thread-safe.
 #pragma once
@@ -19,9 +20,10 @@
 using Slot = std::int64_t;    // Unix time divided by the slot duration
 using Amount = std::int64_t;  // thousandths of a token; one token allows one operation
 inline constexpr Amount kOneToken = 1000;
-inline constexpr Amount kMaxAmount = 1'000'000'000'000;  // a peer that claims more is not believed
+// The largest amount in a payload; a transfer with a larger total is rejected as implausible.
+inline constexpr Amount kMaxAmount = 1'000'000'000'000;
 
-// One process of a member. A restarted member holds none of the tokens of the earlier process.
+// One process of a member. A restarted member holds none of the tokens of its previous process.
 struct Incarnation {
   std::string member;
   std::uint64_t id = 0;  // random, not 0
@@ -29,47 +31,50 @@
   auto operator<=>(const Incarnation&) const = default;
 };
 
-// All tokens issued in one slot that one incarnation ever transferred to another. The total only
-// grows, so it may be repeated and reordered.
+// The tokens of one slot that one incarnation has transferred to another so far. The total never
+// decreases, so that repeated or reordered reports of it are harmless.
 struct TokenTransfer {
-  Slot slot = 0;
-  Amount total = 0;
+  Slot slot = 0;     // in which the tokens were issued
+  Amount total = 0;  // since the start of the sending incarnation
   auto operator<=>(const TokenTransfer&) const = default;
 };
 
+// The tokens that one member holds of one budget, and its transfers to and from other members.
 class TokenEscrow {
  public:
   // A token issued in slot s may be spent in the slots s to s + lifetime_slots - 1, by any member.
   explicit TokenEscrow(unsigned lifetime_slots) : lifetime_slots_(lifetime_slots) {}
 
-  // Drops what has expired by the given slot. Time never goes back.
+  // Sets the current slot and drops expired tokens and transfers. An earlier slot is ignored.
   void advance(Slot now);
-  // Adds tokens to the current slot.
+  // Adds tokens that are issued in the current slot.
   void issue(Amount amount);
-  // Spends one of the oldest tokens. False if less than one is held. Counts as demand either way.
+  // Spends one token, the oldest first. False if less than one token is held. Either result counts
+  // as demand for one token.
   bool spend();
-  // Records that a token would have been used had there been one.
-  void record_demand() { requested_[now_] += kOneToken; }
+  // Counts as demand an operation that was not performed for lack of a token.
+  void record_demand() { demand_by_slot_[now_] += kOneToken; }
 
   Amount held() const { return held_; }
-  // Of the tokens held, those that do not expire at the end of this slot.
-  Amount unexpired() const;
-  // What this member would like from others: its recent use and unmet demand beyond what it holds.
-  Amount demand() const;
+  // Of the tokens held, those that do not expire at the end of the current slot.
+  Amount usable_in_next_slot() const;
+  // By how much the demand within the token lifetime, met or unmet, exceeds the tokens held; the
+  // amount to request from other members.
+  Amount shortfall() const;
 
-  // Transfers up to `wanted` of what this member can spare to a peer: everything if there was no
-  // recent demand here, else half of what exceeds that demand.
-  // If all members are short, fractions of tokens would be scattered so that no member could use
-  // one. So less than one token is passed on completely to a peer with precedence, where the
-  // precedence is an order that all members agree on.
-  void transfer(const Incarnation& to, Amount wanted, bool peer_has_precedence = false);
-  // The transfers to report to a peer until they expire. Reporting them again does no harm.
+  // Transfers up to `requested` to a peer, limited to what is spare here: everything held if there
+  // was no demand within the token lifetime, else half of what exceeds that demand.
+  // When all members are short of tokens, each may hold a fraction of a token, which none can
+  // spend. Less than one token is therefore spare as a whole for a peer with precedence. All
+  // members must agree on the order of precedence.
+  void transfer(const Incarnation& to, Amount requested, bool peer_has_precedence = false);
+  // The unexpired transfers to a peer. Each message to the peer may report them again.
   std::vector<TokenTransfer> transfers_to(const Incarnation& to) const;
-  // Takes over what `from` reports to have transferred. Only that member itself may report it.
-  // False if a transfer is not plausible; then none of them is taken.
+  // Adds the tokens that `from` reports to have transferred; the caller must have the report from
+  // that member itself. False if a transfer is not plausible; then none of them is added.
   bool receive(const Incarnation& from, const std::vector<TokenTransfer>& transfers);
 
-  // Everything that happened here so far. `held` is what remains of it.
+  // Amounts since the start. held() is issued + received - transferred - spent - expired.
   struct Totals {
     Amount issued = 0;
     Amount received = 0;
@@ -86,7 +91,7 @@
   void drop_expired(std::map<Incarnation, AmountBySlot>& transfers) const;
   void add(Slot slot, Amount amount);
   void remove_from(AmountBySlot::iterator slot, Amount amount);
-  Amount recent_requests() const;
+  Amount recent_demand() const;
 
   unsigned lifetime_slots_;
   Slot now_ = 0;
@@ -94,7 +99,7 @@
   Amount held_ = 0;
   std::map<Incarnation, AmountBySlot> transferred_;
   std::map<Incarnation, AmountBySlot> received_;
-  AmountBySlot requested_;  // operations that were asked for, by slot
+  AmountBySlot demand_by_slot_;  // one token for each operation, performed or not
   Totals totals_;
 };
 
