--- a/tests/support/gateway_fixture.hpp
+++ b/tests/support/gateway_fixture.hpp
@@ -13,15 +13,17 @@
 
 namespace gateway::testing {
 
+// Members are destroyed in reverse order: the gateway before its peers and the event loop.
 class GatewayFixture : public ::testing::Test {
  protected:
   asio::io_context io;
   FakeDiscovery discovery{io};
   std::vector<std::unique_ptr<Peer>> hosts;
+  // Both take effect in start().
   json config = config_json();
   Gateway::Overrides waits;
   std::unique_ptr<Gateway> gateway;
-  int serial = 0;
+  int serial = 0;                            // number in the latest request id
   std::vector<std::string> attempted_hosts;  // uid of the host of each attempt, in order
 
   // A host's behaviour: called for each attempt with the attempt's number over all hosts, from 0.
@@ -48,6 +50,7 @@
         io, config::parse_config(config, [](const char*) { return nullptr; }), waits,
         [](const std::string&) {});
   }
+  // See run_until().
   template <class Predicate>
   ::testing::AssertionResult until(Predicate predicate) {
     return run_until(io, predicate);
