--- a/tests/load_balancer/maintenance_test.cpp
+++ b/tests/load_balancer/maintenance_test.cpp
@@ -1,155 +1,173 @@
-// Hosts that operators take out, and a gateway of two processes.
+// Hosts in maintenance, and the budget for warming hosts while two processes serve a gateway.
 #include "support/balancer_driver.hpp"
 
 namespace load_balancer::testing {
 namespace {
 
-class TakenOutTest : public ::testing::Test {
+class MaintenanceTest : public ::testing::Test {
  protected:
-  Driver d{make_settings()};
+  Driver driver{make_settings()};
   const std::string address = make_host(0).address;
 
-  void take(bool out) {
-    d.balancer.set_maintenance(d.now, address, out);
-    d.collect();
+  void set_maintenance(bool in_maintenance) {
+    driver.balancer.set_maintenance(driver.now, address, in_maintenance);
+    driver.collect();
   }
-  void list(int hosts, Time up_since = Time{},
-            EndpointUpdateKind kind = EndpointUpdateKind::snapshot) {
+  // Lists the first `count` hosts, host 0 as started at `started_at`.
+  void update_endpoints(int count, Time started_at = Time{},
+                        EndpointUpdateKind kind = EndpointUpdateKind::snapshot) {
     std::vector<Endpoint> entries;
-    for (int i = 0; i < hosts; ++i) {
+    for (int i = 0; i < count; ++i) {
       entries.push_back(make_host(i, "east", i % 2));
     }
     if (!entries.empty()) {
-      entries[0].started_at = up_since;
+      entries[0].started_at = started_at;
     }
-    d.balancer.on_endpoint_update(d.now, kind, entries);
-    d.collect();
+    driver.balancer.on_endpoint_update(driver.now, kind, entries);
+    driver.collect();
   }
-  // Whether host 0 gets any of so many requests, one after another.
-  std::size_t gets(int count, std::uint32_t cls = 0) {
-    d.forget();
+  // Serves `count` requests one after another and returns the number of attempts at host 0.
+  std::size_t attempts_at_host(int count, std::uint32_t class_index = 0) {
+    driver.forget();
     for (int i = 0; i < count; ++i) {
-      d.request(cls);
-      d.advance(milliseconds(20), milliseconds(20));
-      while (!d.out.empty()) {
-        d.serve(Sent(d.out.front()));
+      driver.request(class_index);
+      driver.advance(milliseconds(20), milliseconds(20));
+      while (!driver.out.empty()) {
+        driver.serve(Sent(driver.out.front()));
       }
     }
-    return d.balancer.find_host(address) == kNone ? 0 : d.sent_to(d.balancer.find_host(address));
+    return driver.balancer.find_host(address) == kNone
+               ? 0
+               : driver.sent_to(driver.balancer.find_host(address));
   }
 };
 
-TEST_F(TakenOutTest, GetsNothingUntilOneCallBack) {
-  EXPECT_GT(gets(60), 0u);
-  take(true);
-  take(true);
-  EXPECT_EQ(gets(60), 0u);
-  take(false);
-  EXPECT_GT(gets(250), 0u);
+// Starting the maintenance twice has no further effect, so that one call ends it.
+TEST_F(MaintenanceTest, HostReceivesNothingUntilOneCallEndsTheMaintenance) {
+  EXPECT_GT(attempts_at_host(60), 0u);
+  set_maintenance(true);
+  set_maintenance(true);
+  EXPECT_EQ(attempts_at_host(60), 0u);
+  set_maintenance(false);
+  EXPECT_GT(attempts_at_host(250), 0u);
 }
 
-TEST_F(TakenOutTest, ItsIdleConnectionsAreClosed) {
-  take(true);
-  ASSERT_EQ(d.count<CloseIdleConnections>(), 1u);
+// Nothing is sent on them during the maintenance, in which the host may be restarted.
+TEST_F(MaintenanceTest, IdleConnectionsOfTheHostAreClosed) {
+  set_maintenance(true);
+  ASSERT_EQ(driver.count<CloseIdleConnections>(), 1u);
 }
 
-TEST_F(TakenOutTest, WhateverTheListSays) {
-  take(true);
-  list(6, d.now);  // listed as started anew
-  EXPECT_EQ(gets(60), 0u);
-  list(6);
-  EXPECT_EQ(gets(60), 0u);
+// Discovery does not know of the maintenance: it may list the host as before, or as restarted.
+TEST_F(MaintenanceTest, EndpointUpdatesDoNotEndTheMaintenance) {
+  set_maintenance(true);
+  update_endpoints(6, driver.now);  // with a new start
+  EXPECT_EQ(attempts_at_host(60), 0u);
+  update_endpoints(6);
+  EXPECT_EQ(attempts_at_host(60), 0u);
 }
 
-TEST_F(TakenOutTest, OutlivesBeingUnlisted) {
-  take(true);
-  d.balancer.on_endpoint_update(d.now, EndpointUpdateKind::snapshot, {make_host(1), make_host(2)});
-  d.collect();
-  EXPECT_EQ(d.balancer.find_host(address), kNone);
-  list(6);
-  EXPECT_EQ(gets(60), 0u);
-  take(false);
-  EXPECT_GT(gets(250), 0u);
+// Discovery may remove a host that is restarted during its maintenance, and list it again later.
+TEST_F(MaintenanceTest, RemovalFromTheEndpointListDoesNotEndTheMaintenance) {
+  set_maintenance(true);
+  driver.balancer.on_endpoint_update(driver.now, EndpointUpdateKind::snapshot,
+                                     {make_host(1), make_host(2)});
+  driver.collect();
+  EXPECT_EQ(driver.balancer.find_host(address), kNone);
+  update_endpoints(6);
+  EXPECT_EQ(attempts_at_host(60), 0u);
+  set_maintenance(false);
+  EXPECT_GT(attempts_at_host(250), 0u);
 }
 
-TEST_F(TakenOutTest, MayBeTakenOutBeforeItIsListed) {
-  Driver other(make_settings(), 1);
-  other.balancer.set_maintenance(other.now, make_host(1).address, true);
-  other.balancer.on_endpoint_update(other.now, EndpointUpdateKind::snapshot,
-                                    {make_host(0), make_host(1)});
-  other.collect();
-  other.warm_up(0, 20);
-  EXPECT_EQ(other.sent_to(other.host(1)), 0u);
+// An operator can put a host into maintenance before the gateway has its endpoint, as at the start
+// of the gateway.
+TEST_F(MaintenanceTest, HostPutIntoMaintenanceBeforeItIsListedReceivesNothing) {
+  Driver new_gateway(make_settings(), 1);
+  new_gateway.balancer.set_maintenance(new_gateway.now, make_host(1).address, true);
+  new_gateway.balancer.on_endpoint_update(new_gateway.now, EndpointUpdateKind::snapshot,
+                                          {make_host(0), make_host(1)});
+  new_gateway.collect();
+  new_gateway.warm_up(0, 20);
+  EXPECT_EQ(new_gateway.sent_to(new_gateway.host(1)), 0u);
 }
 
-TEST_F(TakenOutTest, RetriesAndSecondCopiesPassItBy) {
-  Settings s = make_settings();
-  s.allow_hedging = true;
-  Driver two(s, 2);
-  two.warm_up(0, 20);
-  two.forget();
-  two.request(0);
-  const Sent first = two.last_sent();
-  const int other = first.host == two.host(0) ? 1 : 0;
-  two.balancer.set_maintenance(two.now, make_host(other).address, true);
-  two.collect();
-  two.advance(milliseconds(600));  // past the time for a second copy
-  EXPECT_EQ(two.sent_to(two.host(other)), 0u);
-  two.settle(first, AttemptOutcome::server_error, false);
-  EXPECT_EQ(two.sent_to(two.host(other)), 0u);
+// With two hosts, of which the other one is in maintenance, neither the hedged attempt nor the
+// retry has a host to go to.
+TEST_F(MaintenanceTest, RetriesAndHedgedAttemptsAreNotSentToTheHost) {
+  Settings settings = make_settings();
+  settings.allow_hedging = true;
+  Driver two_hosts(settings, 2);
+  two_hosts.warm_up(0, 20);
+  two_hosts.forget();
+  two_hosts.request(0);
+  const Sent first = two_hosts.last_sent();
+  const int other_host = first.host == two_hosts.host(0) ? 1 : 0;
+  two_hosts.balancer.set_maintenance(two_hosts.now, make_host(other_host).address, true);
+  two_hosts.collect();
+  two_hosts.advance(milliseconds(600));  // past the time of a hedged attempt
+  EXPECT_EQ(two_hosts.sent_to(two_hosts.host(other_host)), 0u);
+  two_hosts.settle(first, AttemptOutcome::server_error, false);
+  EXPECT_EQ(two_hosts.sent_to(two_hosts.host(other_host)), 0u);
 }
 
-TEST_F(TakenOutTest, WithAllOutARequestIsRefused) {
-  Driver one(make_settings(), 1);
-  one.balancer.set_maintenance(one.now, make_host(0).address, true);
-  one.collect();
-  EXPECT_TRUE(one.refused(one.request(1)));
+TEST_F(MaintenanceTest, RequestIsRejectedWhenAllHostsAreInMaintenance) {
+  Driver one_host(make_settings(), 1);
+  one_host.balancer.set_maintenance(one_host.now, make_host(0).address, true);
+  one_host.collect();
+  EXPECT_TRUE(one_host.refused(one_host.request(1)));
 }
 
-TEST_F(TakenOutTest, ComesBackColdThoughTheListLags) {
-  const std::size_t warm = gets(100);
-  take(true);
-  gets(50);
-  take(false);
-  const std::size_t first = gets(50);
-  list(6);  // still with the old start
-  const std::size_t cold = first + gets(50);
-  EXPECT_GT(cold, 0u);
-  EXPECT_LT(cold, warm / 2) << "under the budget of a cold host";
+// A host is often restarted during its maintenance. The endpoint list may show that late, and a
+// host that restarted but counts as warm would be overloaded.
+TEST_F(MaintenanceTest, HostWarmsUpAfterwardsWhileTheListHasItsOldStart) {
+  const std::size_t warm = attempts_at_host(100);
+  set_maintenance(true);
+  attempts_at_host(50);
+  set_maintenance(false);
+  const std::size_t before_update = attempts_at_host(50);
+  update_endpoints(6);  // still with the old start
+  const std::size_t total = before_update + attempts_at_host(50);
+  EXPECT_GT(total, 0u);
+  EXPECT_LT(total, warm / 2) << "within the budget of a warming host";
 }
 
-TEST_F(TakenOutTest, AStartThatTheListNamesLaterCounts) {
-  const std::size_t warm = gets(200);
-  take(true);
-  d.advance(milliseconds(100));
-  const Time restarted = d.now;
-  list(6, restarted);
-  d.advance(seconds(9), milliseconds(100));
-  take(false);
-  d.advance(seconds(2), milliseconds(100));  // it is warm ten seconds after its start
-  EXPECT_GT(gets(200), warm / 2);
+// If the endpoint list names a start during the maintenance, the warm-up counts from that start and
+// not from the end of the maintenance.
+TEST_F(MaintenanceTest, WarmUpCountsFromAStartListedDuringTheMaintenance) {
+  const std::size_t warm = attempts_at_host(200);
+  set_maintenance(true);
+  driver.advance(milliseconds(100));
+  const Time restarted = driver.now;
+  update_endpoints(6, restarted);
+  driver.advance(seconds(9), milliseconds(100));
+  set_maintenance(false);
+  driver.advance(seconds(2), milliseconds(100));  // 11 s after its start; warm after 10 s
+  EXPECT_GT(attempts_at_host(200), warm / 2);
 }
 
-TEST_F(TakenOutTest, OneOfTwoProcessesKeepsToItsPartOfAColdHostsBudget) {
-  const auto cold_gets = [](double part) {
-    Driver d(make_settings());
-    d.warm_up(0, 200, milliseconds(20));
-    d.balancer.set_budget_fraction(d.now, part);
+// Two processes of a gateway, each with the whole budget for a warming host, would together send it
+// twice as much.
+TEST_F(MaintenanceTest, LowerBudgetFractionSendsLessToAWarmingHost) {
+  const auto attempts_at_warming_host = [](double budget_fraction) {
+    Driver driver(make_settings());
+    driver.warm_up(0, 200, milliseconds(20));
+    driver.balancer.set_budget_fraction(driver.now, budget_fraction);
     std::vector<Endpoint> entries;
     for (int i = 0; i < 6; ++i) {
       entries.push_back(make_host(i, "east", i % 2));
     }
-    entries[0].started_at = d.now;
-    d.balancer.on_endpoint_update(d.now, EndpointUpdateKind::snapshot, entries);
-    d.collect();
-    d.forget();
-    d.warm_up(0, 250, milliseconds(20));
-    return d.sent_to(d.host(0));
+    entries[0].started_at = driver.now;
+    driver.balancer.on_endpoint_update(driver.now, EndpointUpdateKind::snapshot, entries);
+    driver.collect();
+    driver.forget();
+    driver.warm_up(0, 250, milliseconds(20));
+    return driver.sent_to(driver.host(0));
   };
-  const std::size_t whole = cold_gets(1);
-  const std::size_t half = cold_gets(0.5);
-  EXPECT_GT(half, 0u);
-  EXPECT_LT(half, whole);
+  const std::size_t with_whole_budget = attempts_at_warming_host(1);
+  const std::size_t with_half_budget = attempts_at_warming_host(0.5);
+  EXPECT_GT(with_half_budget, 0u);
+  EXPECT_LT(with_half_budget, with_whole_budget);
 }
 
 }  // namespace
--- a/tests/load_balancer/pending_body_test.cpp
+++ b/tests/load_balancer/pending_body_test.cpp
@@ -1,97 +1,109 @@
-// Requests whose body is still coming when they are taken, and such as can't be sent again.
+// Requests that are forwarded before their body is complete, and those that are no longer stored
+// and cannot be sent again.
 #include "support/balancer_driver.hpp"
 
 namespace load_balancer::testing {
 namespace {
 
-class ComingTest : public ::testing::Test {
+class PendingBodyTest : public ::testing::Test {
  protected:
-  Driver d{make_settings()};
+  Driver driver{make_settings()};
 
-  RequestId coming(std::uint32_t cls) {
-    Request q;
-    q.id = ++d.last;
-    q.class_index = cls;
-    q.time_remaining = milliseconds(1000);
-    q.body_pending = true;
-    d.balancer.on_request(d.now, q);
-    d.collect();
-    return q.id;
+  RequestId request_with_pending_body(std::uint32_t class_index) {
+    Request request;
+    request.id = ++driver.last;
+    request.class_index = class_index;
+    request.time_remaining = milliseconds(1000);
+    request.body_pending = true;
+    driver.balancer.on_request(driver.now, request);
+    driver.collect();
+    return request.id;
   }
-  void whole(RequestId id) {
-    d.balancer.on_request_complete(d.now, id);
-    d.collect();
+  void complete_body(RequestId id) {
+    driver.balancer.on_request_complete(driver.now, id);
+    driver.collect();
   }
 };
 
-TEST_F(ComingTest, ItsTimeCountsFromItsLastPart) {
-  const RequestId id = coming(1);
-  ASSERT_EQ(d.sent.size(), 1u) << "it goes to a host as it comes";
-  EXPECT_LE(d.last_sent().limit, milliseconds(1000)) << "and this counts from there too";
-  d.advance(seconds(30), milliseconds(50));
-  EXPECT_EQ(d.answers.count(id), 0u);
-  whole(id);
-  d.advance(milliseconds(900));
-  EXPECT_EQ(d.answers.count(id), 0u);
-  d.advance(milliseconds(100));
-  EXPECT_TRUE(d.failed(id)) << "it may have run";
+// A client on a slow link may need longer than its timeout to upload the body. Counted from the
+// arrival of the request, the time would end before a host can respond.
+TEST_F(PendingBodyTest, TimeRemainingCountsFromTheEndOfTheBody) {
+  const RequestId id = request_with_pending_body(1);
+  ASSERT_EQ(driver.sent.size(), 1u) << "forwarded before its body is complete";
+  EXPECT_LE(driver.last_sent().limit, milliseconds(1000)) << "counts from the end of the body too";
+  driver.advance(seconds(30), milliseconds(50));
+  EXPECT_EQ(driver.answers.count(id), 0u);
+  complete_body(id);
+  driver.advance(milliseconds(900));
+  EXPECT_EQ(driver.answers.count(id), 0u);
+  driver.advance(milliseconds(100));
+  EXPECT_TRUE(driver.failed(id)) << "the request may have run";
 }
 
-TEST_F(ComingTest, UploadsDoNotFillThePool) {
-  d.warm_up(0, 40);
+// Uploads cost the hosts little. If they counted as in flight, many slow uploads would look like
+// overload, and other requests would be shed.
+TEST_F(PendingBodyTest, PendingBodiesDoNotRaiseTheSheddingThreshold) {
+  driver.warm_up(0, 40);
   for (int i = 0; i < 200; ++i) {
-    coming(1);
+    request_with_pending_body(1);
   }
-  EXPECT_EQ(d.out.size(), 200u) << "none was refused";
-  EXPECT_LE(d.balancer.shedding_threshold(), 1);
+  EXPECT_EQ(driver.out.size(), 200u) << "none was rejected";
+  EXPECT_LE(driver.balancer.shedding_threshold(), 1);
 }
 
-TEST_F(ComingTest, OneThatNeverRanGoesElsewhereWhileItIsHeld) {
-  const RequestId id = coming(1);
-  const Sent first = d.last_sent();
-  d.advance(seconds(5), milliseconds(50));
-  d.settle(first, AttemptOutcome::connect_failed, false);
-  ASSERT_EQ(d.sent.size(), 2u);
-  EXPECT_NE(d.last_sent().host, first.host);
-  whole(id);
-  d.serve(d.last_sent());
-  EXPECT_EQ(d.balancer.active_requests(), 0u);
+// The connect of the first attempt fails during the upload. The part of the body that has arrived
+// is still stored, so another host can have it.
+TEST_F(PendingBodyTest, RequestThatNeverRanIsRetriedWhileItIsStored) {
+  const RequestId id = request_with_pending_body(1);
+  const Sent first = driver.last_sent();
+  driver.advance(seconds(5), milliseconds(50));
+  driver.settle(first, AttemptOutcome::connect_failed, false);
+  ASSERT_EQ(driver.sent.size(), 2u);
+  EXPECT_NE(driver.last_sent().host, first.host);
+  complete_body(id);
+  driver.serve(driver.last_sent());
+  EXPECT_EQ(driver.balancer.active_requests(), 0u);
 }
 
-TEST_F(ComingTest, OneThatIsNoLongerHeldIsRefusedIfItNeverRanAndFailsIfItMay) {
+// A rejection means that the client may send the request again, which is safe only if no attempt
+// may have run.
+TEST_F(PendingBodyTest, RequestNoLongerStoredIsRejectedIfItNeverRanAndFailsOtherwise) {
   for (const AttemptOutcome outcome : {AttemptOutcome::connect_failed, AttemptOutcome::reset}) {
-    d.forget();
-    const RequestId id = coming(1);
-    const Sent first = d.last_sent();
-    d.balancer.on_attempt_result(
-        d.now, {first.request, 0, first.host, outcome, milliseconds(1), false, true});
-    d.collect();
-    EXPECT_EQ(d.sent.size(), 1u);
-    EXPECT_TRUE(outcome == AttemptOutcome::reset ? d.failed(id) : d.refused(id));
+    driver.forget();
+    const RequestId id = request_with_pending_body(1);
+    const Sent first = driver.last_sent();
+    driver.balancer.on_attempt_result(
+        driver.now, {first.request, 0, first.host, outcome, milliseconds(1), false, true});
+    driver.collect();
+    EXPECT_EQ(driver.sent.size(), 1u);
+    EXPECT_TRUE(outcome == AttemptOutcome::reset ? driver.failed(id) : driver.refused(id));
   }
 }
 
-TEST_F(ComingTest, NoSecondCopyIsMadeOfOne) {
-  Settings s = make_settings();
-  s.allow_hedging = true;
-  d = Driver(s);
-  d.warm_up(0, 40);
-  d.forget();
-  const RequestId id = coming(0);
-  d.advance(milliseconds(500));
-  whole(id);
-  d.advance(milliseconds(500));
-  EXPECT_EQ(d.sent.size(), 1u);
+// An attempt that waits for the rest of an upload looks slow even if its host is not. So no hedged
+// attempt is sent, neither during the upload nor after it.
+TEST_F(PendingBodyTest, RequestWithPendingBodyIsNotHedged) {
+  Settings settings = make_settings();
+  settings.allow_hedging = true;
+  driver = Driver(settings);
+  driver.warm_up(0, 40);
+  driver.forget();
+  const RequestId id = request_with_pending_body(0);
+  driver.advance(milliseconds(500));
+  complete_body(id);
+  driver.advance(milliseconds(500));
+  EXPECT_EQ(driver.sent.size(), 1u);
 }
 
-TEST_F(ComingTest, AnEndForNobodyDoesNoHarm) {
-  whole(99);
-  const RequestId id = coming(1);
-  d.balancer.on_client_disconnected(d.now, id);
-  d.collect();
-  whole(id);
-  d.settle(d.last_sent(), AttemptOutcome::cancelled, true);
-  EXPECT_EQ(d.balancer.active_requests(), 0u);
+// The end of a body can arrive after its request has ended.
+TEST_F(PendingBodyTest, BodyEndOfUnknownOrEndedRequestIsIgnored) {
+  complete_body(99);
+  const RequestId id = request_with_pending_body(1);
+  driver.balancer.on_client_disconnected(driver.now, id);
+  driver.collect();
+  complete_body(id);
+  driver.settle(driver.last_sent(), AttemptOutcome::cancelled, true);
+  EXPECT_EQ(driver.balancer.active_requests(), 0u);
 }
 
 }  // namespace
