--- a/tests/load_balancer/decision_test.cpp
+++ b/tests/load_balancer/decision_test.cpp
@@ -109,11 +109,11 @@
   respond_regularly(fixture, {0.25, 0.25, 0.25, 0.25});
   const double learned_capacity = fixture.capacity(0);
   for (int i = 0; i < 20; ++i) {
-    fixture.advance(kSweep), fixture.slow_start.sweep();
+    fixture.advance(kSweepInterval), fixture.slow_start.sweep();
   }
   EXPECT_NEAR(fixture.capacity(0), learned_capacity, 0.1 * learned_capacity);
   for (int i = 0; i < 3000; ++i) {
-    fixture.advance(kSweep), fixture.slow_start.sweep();
+    fixture.advance(kSweepInterval), fixture.slow_start.sweep();
   }
   // Estimate without reports: half of an even part of 80 requests per second.
   EXPECT_NEAR(fixture.capacity(0), 10, 0.1);
@@ -140,7 +140,7 @@
   for (auto& gateway : gateways) {
     // try_admit() without on_sent(): an available token is not spent.
     for (int i = 0; i < 20; ++i) {
-      gateway->advance(kSweep), gateway->slow_start.try_admit(gateway->hosts.at(4));
+      gateway->advance(kSweepInterval), gateway->slow_start.try_admit(gateway->hosts.at(4));
     }
     burst += gateway->slow_start.try_admit(gateway->hosts.at(4));
   }
