--- a/tests/load_balancer/gateway_count_test.cpp
+++ b/tests/load_balancer/gateway_count_test.cpp
@@ -131,8 +131,9 @@
 
 // Of 24 gateways, 6 have twenty times the traffic of the others, and hosts restart. Counts the
 // attempts at each warming host in every collapse window: also those that it rejects (a fifth),
-// their retries, and those of gateways that restart and lose count of what they sent. A host's
-// budget N may be exceeded only by what is due to chance, 2 * sqrt(N) + 2.
+// their retries, and those of gateways that restart and lose count of what they sent. The budget N
+// of a host is collapse_load_factor times its capacity at the start of the window; only what is due
+// to chance may exceed it, 2 * sqrt(N) + 2.
 // NOLINTNEXTLINE(readability-function-cognitive-complexity): nested loops over time and gateways
 TEST(GatewayFleet, UnevenAndRestartingGatewaysStayWithinTheBudgetOfAWarmingHost) {
   constexpr int kGateways = 24;
