--- a/tests/load_balancer/bounds_test.cpp
+++ b/tests/load_balancer/bounds_test.cpp
@@ -114,7 +114,7 @@
   EXPECT_TRUE(was_sent(driver, second));
 }
 
-// A queued request whose client is gone must neither be sent nor block the requests behind it.
+// A queued request without a client must neither be sent nor block the requests behind it.
 TEST(SerializationByKey, QueuedRequestIsRemovedWhenItsClientDisconnects) {
   Driver driver(serialized_settings());
   driver.request(0, seconds(1), 5);
--- a/tests/load_balancer/gateway_count_test.cpp
+++ b/tests/load_balancer/gateway_count_test.cpp
@@ -310,26 +310,26 @@
 // that is sized for an average gateway.
 TEST(GatewayFleet, GatewayWithMuchTrafficUsesMoreHosts) {
   GatewayFleet fleet(make_settings(), 100, 80);
-  const std::size_t heavy_gateway = 7;
+  const std::size_t busy_gateway = 7;
   for (int i = 0; i < 400; ++i) {
     for (int n = 0; n < 2; ++n) {
-      fleet.drivers[heavy_gateway]->request(0);  // 100 per second
+      fleet.drivers[busy_gateway]->request(0);  // 100 per second
     }
     fleet.run(0.02, 5);
   }
-  std::size_t hosts_of_heavy = 0;
-  std::size_t hosts_of_other = 0;
+  std::size_t hosts_of_busy_gateway = 0;
+  std::size_t hosts_of_other_gateway = 0;
   std::size_t most_attempts = 0;
   std::size_t total_attempts = 0;
   for (int h = 0; h < 80; ++h) {
     const std::size_t attempts =
-        fleet.drivers[heavy_gateway]->sent_to(fleet.drivers[heavy_gateway]->host(h));
-    hosts_of_heavy += attempts > 0, total_attempts += attempts,
+        fleet.drivers[busy_gateway]->sent_to(fleet.drivers[busy_gateway]->host(h));
+    hosts_of_busy_gateway += attempts > 0, total_attempts += attempts,
         most_attempts = std::max(most_attempts, attempts);
-    hosts_of_other += fleet.drivers[3]->sent_to(fleet.drivers[3]->host(h)) > 0;
+    hosts_of_other_gateway += fleet.drivers[3]->sent_to(fleet.drivers[3]->host(h)) > 0;
   }
-  EXPECT_GE(hosts_of_heavy, 70u);
-  EXPECT_LE(hosts_of_other, 20u);
+  EXPECT_GE(hosts_of_busy_gateway, 70u);
+  EXPECT_LE(hosts_of_other_gateway, 20u);
   EXPECT_LT(static_cast<double>(most_attempts), 3 * static_cast<double>(total_attempts) / 80);
 }
 
@@ -389,8 +389,7 @@
 }
 
 // The number of requests in flight at a gateway with little traffic varies by chance. The cubic
-// shedding threshold must not shed because of that, but must still shed when the hosts are
-// slow.
+// shedding threshold must not shed because of that, but must still shed when hosts are slow.
 TEST(GatewayFleet, LowTrafficGatewaysShedOnlyWhenHostsAreSlow) {
   GatewayFleet fleet(make_settings(), 100, 20);
   fleet.run(10, 6, milliseconds(110));
@@ -407,27 +406,27 @@
 
   Settings settings = make_settings();
   settings.gateway_count = 100;
-  Driver slow_gateway(settings, 20);
+  Driver gateway(settings, 20);
   std::size_t rejected_before = 0;
   for (int i = 0; i < 600; ++i) {
-    slow_gateway.request(1);
-    slow_gateway.advance(milliseconds(150));
-    for (std::size_t k = 0; k < slow_gateway.out.size();) {
-      const Sent attempt = slow_gateway.out[k];
+    gateway.request(1);
+    gateway.advance(milliseconds(150));
+    for (std::size_t k = 0; k < gateway.out.size();) {
+      const Sent attempt = gateway.out[k];
       if (i < 300) {
-        slow_gateway.settle(attempt, AttemptOutcome::success, true, milliseconds(40));
-      } else if (slow_gateway.now - attempt.at >= milliseconds(380)) {
-        slow_gateway.settle(attempt, AttemptOutcome::timeout, false);
+        gateway.settle(attempt, AttemptOutcome::success, true, milliseconds(40));
+      } else if (gateway.now - attempt.at >= milliseconds(380)) {
+        gateway.settle(attempt, AttemptOutcome::timeout, false);
       } else {
         ++k;
       }
     }
     if (i == 300) {
-      rejected_before = slow_gateway.count<RejectRequest>();
+      rejected_before = gateway.count<RejectRequest>();
     }
   }
   EXPECT_LT(rejected_before, 6u);
-  EXPECT_GT(slow_gateway.count<RejectRequest>() - rejected_before, 100u)
+  EXPECT_GT(gateway.count<RejectRequest>() - rejected_before, 100u)
       << "of 300 requests, since no response is in time any more";
 }
 
--- a/tests/load_balancer/large_fleet_test.cpp
+++ b/tests/load_balancer/large_fleet_test.cpp
@@ -1,6 +1,6 @@
-// Hundreds of gateways with little traffic each, in front of hosts whose different capacities they
-// are not configured with. The hosts are simulated: cores, a queue, and an overload collapse after
-// which a host stays slow until it has had little load for a while.
+// Hundreds of gateways with little traffic each, in front of hosts of different capacities, which
+// no setting states. The hosts are simulated: cores, a queue, and an overload collapse after which
+// a host stays slow until it has had little load for a while.
 #include <algorithm>
 #include <functional>
 #include <map>
