--- a/tests/load_balancer/bounds_test.cpp
+++ b/tests/load_balancer/bounds_test.cpp
@@ -15,7 +15,7 @@
 }
 
 bool was_sent(const Driver& driver, RequestId id) {
-  for (const Sent& attempt : driver.sent) {
+  for (const SentAttempt& attempt : driver.sent) {
     if (attempt.request == id) {
       return true;
     }
@@ -34,10 +34,10 @@
   const RequestId third = driver.request(0, seconds(1), 5);
   EXPECT_TRUE(was_sent(driver, first));
   EXPECT_FALSE(was_sent(driver, second) || was_sent(driver, third));
-  driver.serve(Sent(driver.out.front()));
+  driver.serve(SentAttempt(driver.in_flight.front()));
   EXPECT_TRUE(was_sent(driver, second));
   EXPECT_FALSE(was_sent(driver, third));
-  driver.serve(Sent(driver.out.front()));
+  driver.serve(SentAttempt(driver.in_flight.front()));
   EXPECT_TRUE(was_sent(driver, third));
 }
 
@@ -63,7 +63,8 @@
     Driver driver(settings);
     driver.request(1, seconds(1), 5);
     const RequestId next = driver.request(1, seconds(1), 5);
-    driver.settle(Sent(driver.out.front()), outcome, outcome == AttemptOutcome::success);
+    driver.report_result(SentAttempt(driver.in_flight.front()), outcome,
+                         outcome == AttemptOutcome::success);
     const bool effect_unknown = outcome == AttemptOutcome::timeout ||
                                 outcome == AttemptOutcome::reset ||
                                 outcome == AttemptOutcome::cancelled;
@@ -81,7 +82,7 @@
   settings.max_attempts = 1;
   Driver driver(settings);
   driver.request(1, seconds(1), 5);
-  driver.settle(Sent(driver.out.front()), AttemptOutcome::reset, false);
+  driver.report_result(SentAttempt(driver.in_flight.front()), AttemptOutcome::reset, false);
   const RequestId next = driver.request(1, seconds(1), 5);
   driver.advance(milliseconds(95));
   EXPECT_FALSE(was_sent(driver, next));
@@ -93,7 +94,7 @@
 TEST(SerializationByKey, RetryDoesNotWaitForTheKeyCooldown) {
   Driver driver(serialized_settings());
   const RequestId first = driver.request(0, seconds(1), 5);
-  driver.settle(Sent(driver.out.front()), AttemptOutcome::reset, false);
+  driver.report_result(SentAttempt(driver.in_flight.front()), AttemptOutcome::reset, false);
   EXPECT_EQ(driver.last_sent().request, first);
   EXPECT_EQ(driver.last_sent().attempt, 1u);
 }
@@ -108,7 +109,7 @@
   driver.collect();
   driver.advance(milliseconds(50));
   EXPECT_FALSE(was_sent(driver, second));
-  driver.settle(Sent(driver.out.front()), AttemptOutcome::cancelled, true);
+  driver.report_result(SentAttempt(driver.in_flight.front()), AttemptOutcome::cancelled, true);
   EXPECT_FALSE(was_sent(driver, second));
   driver.advance(milliseconds(105));
   EXPECT_TRUE(was_sent(driver, second));
@@ -122,7 +123,7 @@
   const RequestId third = driver.request(0, seconds(1), 5);
   driver.balancer.on_client_disconnected(driver.now, second);
   driver.collect();
-  driver.serve(Sent(driver.out.front()));
+  driver.serve(SentAttempt(driver.in_flight.front()));
   EXPECT_FALSE(was_sent(driver, second));
   EXPECT_TRUE(was_sent(driver, third));
 }
@@ -135,7 +136,7 @@
   driver.request(0, seconds(1), 5);
   const RequestId second = driver.request(0, seconds(1), 5);
   driver.advance(milliseconds(380));  // the first request does not end
-  EXPECT_TRUE(driver.refused(second));
+  EXPECT_TRUE(driver.rejected(second));
   EXPECT_FALSE(was_sent(driver, second));
 }
 
@@ -145,9 +146,9 @@
   Driver driver(serialized_settings());
   driver.warm_up(0, 20, milliseconds(100));
   for (int i = 0; i < 3; ++i) {
-    EXPECT_FALSE(driver.refused(driver.request(0, seconds(1), 5)));
+    EXPECT_FALSE(driver.rejected(driver.request(0, seconds(1), 5)));
   }
-  EXPECT_TRUE(driver.refused(driver.request(0, seconds(1), 5)));
+  EXPECT_TRUE(driver.rejected(driver.request(0, seconds(1), 5)));
 }
 
 // The host is selected when the request leaves the queue, not when it enters it: one of two hosts
@@ -156,7 +157,7 @@
   Driver driver(serialized_settings(), 2);
   driver.request(0, seconds(1), 5);
   const RequestId second = driver.request(0, seconds(1), 5);
-  const Sent first_attempt = driver.out.front();
+  const SentAttempt first_attempt = driver.in_flight.front();
   for (int i = 0; i < 2; ++i) {
     Endpoint endpoint = make_host(i, "east", i % 2);
     if (driver.balancer.find_host(endpoint.address) == first_attempt.host) {
@@ -194,10 +195,11 @@
   const std::set<HostId> allowed = {driver.host(20), driver.host(21)};
   for (int i = 0; i < 60; ++i) {
     driver.request(0);
-    while (!driver.out.empty()) {
-      EXPECT_TRUE(allowed.count(driver.out.front().host));
-      driver.settle(Sent(driver.out.front()),
-                    i % 2 ? AttemptOutcome::connect_failed : AttemptOutcome::server_error, false);
+    while (!driver.in_flight.empty()) {
+      EXPECT_TRUE(allowed.count(driver.in_flight.front().host));
+      driver.report_result(SentAttempt(driver.in_flight.front()),
+                           i % 2 ? AttemptOutcome::connect_failed : AttemptOutcome::server_error,
+                           false);
     }
     driver.advance(milliseconds(20));
   }
@@ -211,7 +213,7 @@
     driver.request(1);
   }
   ASSERT_FALSE(driver.sent.empty());
-  for (const Sent& attempt : driver.sent) {
+  for (const SentAttempt& attempt : driver.sent) {
     EXPECT_EQ(attempt.host, driver.host(22));
   }
 }
@@ -228,7 +230,7 @@
   driver.balancer.on_endpoint_update(driver.now, EndpointUpdateKind::delta, removed);
   const RequestId restricted = driver.request(0);
   const RequestId unrestricted = driver.request(2);
-  EXPECT_TRUE(driver.refused(restricted));
+  EXPECT_TRUE(driver.rejected(restricted));
   EXPECT_FALSE(was_sent(driver, restricted));
   EXPECT_TRUE(was_sent(driver, unrestricted));
 }
@@ -239,7 +241,7 @@
     Settings settings = make_settings();
     settings.classes[0].zones = zones;
     Driver driver(settings);
-    EXPECT_TRUE(driver.refused(driver.request(0)));
+    EXPECT_TRUE(driver.rejected(driver.request(0)));
     EXPECT_TRUE(driver.sent.empty());
   }
 }
--- a/tests/load_balancer/decision_test.cpp
+++ b/tests/load_balancer/decision_test.cpp
@@ -160,16 +160,16 @@
     driver.request(0, seconds(1));
   }
   std::map<HostId, int> attempts_in_flight;
-  for (const Sent& attempt : driver.sent) {
+  for (const SentAttempt& attempt : driver.sent) {
     ++attempts_in_flight[attempt.host];
   }
   std::set<HostId> idle_hosts;
-  for (const Sent& attempt : std::vector<Sent>(driver.sent)) {
+  for (const SentAttempt& attempt : std::vector<SentAttempt>(driver.sent)) {
     if (idle_hosts.size() < 20) {
       idle_hosts.insert(attempt.host);
     }
     if (idle_hosts.count(attempt.host)) {
-      driver.settle(attempt, AttemptOutcome::success, true, milliseconds(50));
+      driver.report_result(attempt, AttemptOutcome::success, true, milliseconds(50));
     }
   }
   int sent_to_idle = 0;
@@ -202,7 +202,7 @@
     driver.request(0, seconds(1));
   }
   EXPECT_GE(driver.sent.size(), 5u);
-  for (const Sent& attempt : driver.sent) {
+  for (const SentAttempt& attempt : driver.sent) {
     EXPECT_GE(driver.balancer.address(attempt.host), make_host(60).address);
   }
 }
@@ -225,7 +225,8 @@
       const std::size_t before = driver.sent.size();
       driver.request(0, seconds(1), key * 7919);
       host_by_key[key] = driver.balancer.address(driver.sent.at(before).host);
-      driver.settle(Sent(driver.sent.at(before)), AttemptOutcome::success, true, milliseconds(5));
+      driver.report_result(SentAttempt(driver.sent.at(before)), AttemptOutcome::success, true,
+                           milliseconds(5));
     }
     return host_by_key;
   };
--- a/tests/load_balancer/gateway_count_test.cpp
+++ b/tests/load_balancer/gateway_count_test.cpp
@@ -49,15 +49,16 @@
           driver->request(0);
         }
         driver->advance(milliseconds(20), milliseconds(20));
-        while (!driver->out.empty() && driver->now - driver->out.front().at >= latency) {
-          driver->serve(Sent(driver->out.front()));
+        while (!driver->in_flight.empty() &&
+               driver->now - driver->in_flight.front().at >= latency) {
+          driver->serve(SentAttempt(driver->in_flight.front()));
         }
       }
     }
   }
   void clear_history() {
     for (auto& driver : drivers) {
-      driver->forget();
+      driver->clear_history();
     }
   }
   // Attempts at the host by all gateways.
@@ -168,12 +169,12 @@
               driver.request(0), due_requests -= 1;
             }
             driver.advance(kTick, kTick);
-            for (std::size_t k = 0; k < driver.out.size();) {
-              const Sent attempt = driver.out[k];
+            for (std::size_t k = 0; k < driver.in_flight.size();) {
+              const SentAttempt attempt = driver.in_flight[k];
               if (driver.now - attempt.at < milliseconds(40)) {
                 ++k;
               } else if (attempt.host < kWarmingHosts && to_unit_interval(random()) < 0.2) {
-                driver.settle(attempt, AttemptOutcome::rejected_by_host, false);
+                driver.report_result(attempt, AttemptOutcome::rejected_by_host, false);
               } else {
                 driver.serve(attempt);
               }
@@ -411,12 +412,12 @@
   for (int i = 0; i < 600; ++i) {
     gateway.request(1);
     gateway.advance(milliseconds(150));
-    for (std::size_t k = 0; k < gateway.out.size();) {
-      const Sent attempt = gateway.out[k];
+    for (std::size_t k = 0; k < gateway.in_flight.size();) {
+      const SentAttempt attempt = gateway.in_flight[k];
       if (i < 300) {
-        gateway.settle(attempt, AttemptOutcome::success, true, milliseconds(40));
+        gateway.report_result(attempt, AttemptOutcome::success, true, milliseconds(40));
       } else if (gateway.now - attempt.at >= milliseconds(380)) {
-        gateway.settle(attempt, AttemptOutcome::timeout, false);
+        gateway.report_result(attempt, AttemptOutcome::timeout, false);
       } else {
         ++k;
       }
@@ -441,15 +442,16 @@
       driver.warm_up(class_index, 60);
     }
     for (std::uint32_t class_index : {0u, 1u}) {
-      driver.forget();
+      driver.clear_history();
       driver.request(class_index);
       driver.advance(milliseconds(300));
       EXPECT_EQ(driver.sent.size(), allow_hedging && class_index == 0 ? 2u : 1u);
       if (driver.sent.size() == 2) {
         EXPECT_NE(driver.sent[0].host, driver.sent[1].host);
       }
-      while (!driver.out.empty()) {
-        driver.settle(Sent(driver.out.back()), AttemptOutcome::success, driver.out.size() == 1);
+      while (!driver.in_flight.empty()) {
+        driver.report_result(SentAttempt(driver.in_flight.back()), AttemptOutcome::success,
+                             driver.in_flight.size() == 1);
       }
     }
   }
@@ -462,7 +464,7 @@
   settings.dynamic_weights = true;
   Driver driver(settings, 6);
   const auto run = [&](double weight) {
-    driver.forget();
+    driver.clear_history();
     for (int i = 0; i < 400; ++i) {
       if (i % 10 == 0) {
         Endpoint endpoint = make_host(2);
@@ -471,8 +473,8 @@
       }
       driver.request(0);
       driver.advance(milliseconds(40));
-      while (!driver.out.empty()) {
-        driver.serve(Sent(driver.out.front()));
+      while (!driver.in_flight.empty()) {
+        driver.serve(SentAttempt(driver.in_flight.front()));
       }
     }
     return driver.sent_to(driver.host(2));
@@ -490,11 +492,12 @@
   settings.max_attempts = 2;
   Driver driver(settings, 20);
   driver.warm_up(0, 200, milliseconds(200));
-  driver.forget();
+  driver.clear_history();
   for (int i = 0; i < 20; ++i) {
     driver.request(0);
-    while (!driver.out.empty()) {
-      driver.settle(Sent(driver.out.front()), AttemptOutcome::rejected_by_host, false);
+    while (!driver.in_flight.empty()) {
+      driver.report_result(SentAttempt(driver.in_flight.front()), AttemptOutcome::rejected_by_host,
+                           false);
     }
     driver.advance(milliseconds(20));
   }
@@ -514,22 +517,22 @@
                                      {endpoints.begin(), endpoints.begin() + 8});
   for (int i = 0; i < 400; ++i) {
     driver.request(0);
-    while (!driver.out.empty()) {
-      const Sent attempt = driver.out.front();
+    while (!driver.in_flight.empty()) {
+      const SentAttempt attempt = driver.in_flight.front();
       const bool slow = attempt.host == driver.host(1) || attempt.host == driver.host(3) ||
                         attempt.host == driver.host(5) || attempt.host == driver.host(7);
-      driver.settle(attempt, AttemptOutcome::success, true, milliseconds(slow ? 90 : 30));
+      driver.report_result(attempt, AttemptOutcome::success, true, milliseconds(slow ? 90 : 30));
     }
     driver.advance(milliseconds(50), milliseconds(50));
   }
   driver.balancer.on_endpoint_update(driver.now, EndpointUpdateKind::delta,
                                      {endpoints.begin() + 8, endpoints.end()});
-  driver.forget();
+  driver.clear_history();
   for (int i = 0; i < 60; ++i) {
     driver.request(0);
-    while (!driver.out.empty()) {
+    while (!driver.in_flight.empty()) {
       // Gives no latency sample.
-      driver.settle(Sent(driver.out.front()), AttemptOutcome::cancelled, true);
+      driver.report_result(SentAttempt(driver.in_flight.front()), AttemptOutcome::cancelled, true);
     }
   }
   EXPECT_GT(driver.sent_to(driver.host(8)) + driver.sent_to(driver.host(10)),
@@ -556,8 +559,8 @@
           hosts.insert(driver.balancer.address(driver.last_sent().host));
         }
         driver.advance(milliseconds(20), milliseconds(20));
-        while (!driver.out.empty()) {
-          driver.serve(Sent(driver.out.front()));
+        while (!driver.in_flight.empty()) {
+          driver.serve(SentAttempt(driver.in_flight.front()));
         }
       }
     }
@@ -574,14 +577,14 @@
 TEST(ConnectBackoff, StartsAtTheFirstFailedConnect) {
   Driver driver(make_settings(), 6);
   driver.warm_up(0, 60);
-  driver.forget();
+  driver.clear_history();
   for (int i = 0; i < 40; ++i) {
     driver.request(0);
     driver.advance(milliseconds(10));
-    for (std::size_t k = 0; k < driver.out.size();) {
-      const Sent attempt = driver.out[k];
+    for (std::size_t k = 0; k < driver.in_flight.size();) {
+      const SentAttempt attempt = driver.in_flight[k];
       if (attempt.host == driver.host(1)) {
-        driver.settle(attempt, AttemptOutcome::connect_failed, false);
+        driver.report_result(attempt, AttemptOutcome::connect_failed, false);
       } else {
         driver.serve(attempt);
       }
@@ -603,11 +606,11 @@
   // Sends 15 requests per second; hosts respond after 80 ms, with a load report of `utilization`.
   // Attempts for which `handle_attempt` returns true get no such response.
   void run(double duration_seconds, double utilization,
-           const std::function<bool(const Sent&)>& handle_attempt = {}) {
+           const std::function<bool(const SentAttempt&)>& handle_attempt = {}) {
     for (int i = 0; i < static_cast<int>(duration_seconds / 0.066); ++i) {
       request(1);
       advance(milliseconds(66), milliseconds(6));
-      for (const Sent& attempt : std::vector<Sent>(out)) {
+      for (const SentAttempt& attempt : std::vector<SentAttempt>(in_flight)) {
         if (handle_attempt && handle_attempt(attempt)) {
           continue;
         }
@@ -643,12 +646,12 @@
 TEST(LowTrafficGateway, HostThatFailsAtOnceIsAvoidedAfterFewFailures) {
   LowTrafficGateway gateway(6);
   gateway.run(5, 0.4);
-  gateway.forget();
-  gateway.run(30, 0.4, [&](const Sent& attempt) {
+  gateway.clear_history();
+  gateway.run(30, 0.4, [&](const SentAttempt& attempt) {
     if (attempt.host != gateway.host(3)) {
       return false;
     }
-    gateway.settle(attempt, AttemptOutcome::server_error, false);
+    gateway.report_result(attempt, AttemptOutcome::server_error, false);
     return true;
   });
   EXPECT_LE(gateway.sent_to(gateway.host(3)), 6u) << "of 450 requests on 6 hosts";
--- a/tests/load_balancer/maintenance_test.cpp
+++ b/tests/load_balancer/maintenance_test.cpp
@@ -28,12 +28,12 @@
   }
   // Serves `count` requests one after another and returns the number of attempts at host 0.
   std::size_t attempts_at_host(int count, std::uint32_t class_index = 0) {
-    driver.forget();
+    driver.clear_history();
     for (int i = 0; i < count; ++i) {
       driver.request(class_index);
       driver.advance(milliseconds(20), milliseconds(20));
-      while (!driver.out.empty()) {
-        driver.serve(Sent(driver.out.front()));
+      while (!driver.in_flight.empty()) {
+        driver.serve(SentAttempt(driver.in_flight.front()));
       }
     }
     return driver.balancer.find_host(address) == kNone
@@ -99,15 +99,15 @@
   settings.allow_hedging = true;
   Driver two_hosts(settings, 2);
   two_hosts.warm_up(0, 20);
-  two_hosts.forget();
+  two_hosts.clear_history();
   two_hosts.request(0);
-  const Sent first = two_hosts.last_sent();
+  const SentAttempt first = two_hosts.last_sent();
   const int other_host = first.host == two_hosts.host(0) ? 1 : 0;
   two_hosts.balancer.set_maintenance(two_hosts.now, make_host(other_host).address, true);
   two_hosts.collect();
   two_hosts.advance(milliseconds(600));  // past the time of a hedged attempt
   EXPECT_EQ(two_hosts.sent_to(two_hosts.host(other_host)), 0u);
-  two_hosts.settle(first, AttemptOutcome::server_error, false);
+  two_hosts.report_result(first, AttemptOutcome::server_error, false);
   EXPECT_EQ(two_hosts.sent_to(two_hosts.host(other_host)), 0u);
 }
 
@@ -115,7 +115,7 @@
   Driver one_host(make_settings(), 1);
   one_host.balancer.set_maintenance(one_host.now, make_host(0).address, true);
   one_host.collect();
-  EXPECT_TRUE(one_host.refused(one_host.request(1)));
+  EXPECT_TRUE(one_host.rejected(one_host.request(1)));
 }
 
 // A host is often restarted during its maintenance. The endpoint list may show that late, and a
@@ -160,7 +160,7 @@
     entries[0].started_at = driver.now;
     driver.balancer.on_endpoint_update(driver.now, EndpointUpdateKind::snapshot, entries);
     driver.collect();
-    driver.forget();
+    driver.clear_history();
     driver.warm_up(0, 250, milliseconds(20));
     return driver.sent_to(driver.host(0));
   };
--- a/tests/load_balancer/pending_body_test.cpp
+++ b/tests/load_balancer/pending_body_test.cpp
@@ -30,12 +30,13 @@
 TEST_F(PendingBodyTest, TimeRemainingCountsFromTheEndOfTheBody) {
   const RequestId id = request_with_pending_body(1);
   ASSERT_EQ(driver.sent.size(), 1u) << "forwarded before its body is complete";
-  EXPECT_LE(driver.last_sent().limit, milliseconds(1000)) << "counts from the end of the body too";
+  EXPECT_LE(driver.last_sent().timeout, milliseconds(1000))
+      << "counts from the end of the body too";
   driver.advance(seconds(30), milliseconds(50));
-  EXPECT_EQ(driver.answers.count(id), 0u);
+  EXPECT_EQ(driver.gateway_responses.count(id), 0u);
   complete_body(id);
   driver.advance(milliseconds(900));
-  EXPECT_EQ(driver.answers.count(id), 0u);
+  EXPECT_EQ(driver.gateway_responses.count(id), 0u);
   driver.advance(milliseconds(100));
   EXPECT_TRUE(driver.failed(id)) << "the request may have run";
 }
@@ -47,7 +48,7 @@
   for (int i = 0; i < 200; ++i) {
     request_with_pending_body(1);
   }
-  EXPECT_EQ(driver.out.size(), 200u) << "none was rejected";
+  EXPECT_EQ(driver.in_flight.size(), 200u) << "none was rejected";
   EXPECT_LE(driver.balancer.shedding_threshold(), 1);
 }
 
@@ -55,9 +56,9 @@
 // is still stored, so another host can have it.
 TEST_F(PendingBodyTest, RequestThatNeverRanIsRetriedWhileItIsStored) {
   const RequestId id = request_with_pending_body(1);
-  const Sent first = driver.last_sent();
+  const SentAttempt first = driver.last_sent();
   driver.advance(seconds(5), milliseconds(50));
-  driver.settle(first, AttemptOutcome::connect_failed, false);
+  driver.report_result(first, AttemptOutcome::connect_failed, false);
   ASSERT_EQ(driver.sent.size(), 2u);
   EXPECT_NE(driver.last_sent().host, first.host);
   complete_body(id);
@@ -69,14 +70,14 @@
 // may have run.
 TEST_F(PendingBodyTest, RequestNoLongerStoredIsRejectedIfItNeverRanAndFailsOtherwise) {
   for (const AttemptOutcome outcome : {AttemptOutcome::connect_failed, AttemptOutcome::reset}) {
-    driver.forget();
+    driver.clear_history();
     const RequestId id = request_with_pending_body(1);
-    const Sent first = driver.last_sent();
+    const SentAttempt first = driver.last_sent();
     driver.balancer.on_attempt_result(
         driver.now, {first.request, 0, first.host, outcome, milliseconds(1), false, true});
     driver.collect();
     EXPECT_EQ(driver.sent.size(), 1u);
-    EXPECT_TRUE(outcome == AttemptOutcome::reset ? driver.failed(id) : driver.refused(id));
+    EXPECT_TRUE(outcome == AttemptOutcome::reset ? driver.failed(id) : driver.rejected(id));
   }
 }
 
@@ -87,7 +88,7 @@
   settings.allow_hedging = true;
   driver = Driver(settings);
   driver.warm_up(0, 40);
-  driver.forget();
+  driver.clear_history();
   const RequestId id = request_with_pending_body(0);
   driver.advance(milliseconds(500));
   complete_body(id);
@@ -102,7 +103,7 @@
   driver.balancer.on_client_disconnected(driver.now, id);
   driver.collect();
   complete_body(id);
-  driver.settle(driver.last_sent(), AttemptOutcome::cancelled, true);
+  driver.report_result(driver.last_sent(), AttemptOutcome::cancelled, true);
   EXPECT_EQ(driver.balancer.active_requests(), 0u);
 }
 
