--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -47,8 +47,8 @@
   });
 }
 
-// The directory in which all processes of this gateway find what operators have set. Empty without
-// TMPDIR: nothing is stored then.
+// The directory of the state that operators have set, which the processes of this gateway share. If
+// TMPDIR is not set, it is empty: the state is then not stored.
 std::string state_directory(const gateway::config::Config& config) {
   const char* base = std::getenv("TMPDIR");
   if (!base || !*base) {
--- a/src/gateway/proxied_request.hpp
+++ b/src/gateway/proxied_request.hpp
@@ -17,10 +17,11 @@
   http::HttpRequest message;
   std::shared_ptr<http::BodyStream> body;  ///< Null: the message contains the complete body.
   std::string request_id;                  ///< The client's X-Request-Id.
-  std::uint32_t attempts_ordered = 0;      ///< By the balancer, including those not sent.
-  std::uint32_t attempts_in_flight =
-      0;               ///< Ordered, without a completion reported to the balancer.
-  bool ended = false;  ///< A response was passed on, or the client has disconnected.
+  /// By the balancer, including those that were not sent.
+  std::uint32_t attempts_ordered = 0;
+  /// Ordered attempts whose result has not been reported to the balancer.
+  std::uint32_t attempts_in_flight = 0;
+  bool ended = false;  ///< The listener has the response, or the client has disconnected.
 };
 
 }  // namespace gateway
--- a/src/gateway/resource_limits.cpp
+++ b/src/gateway/resource_limits.cpp
@@ -5,8 +5,8 @@
 namespace gateway {
 namespace {
 
-// Divides the memory into parts, of which buffered bodies get one: a body may be buffered three
-// times, and its response needs memory as well.
+// Buffered bodies may use the process's memory divided by this: a body may be buffered three times,
+// and its response needs memory as well.
 constexpr std::size_t kBodyMemoryDivisor = 8;
 // Client connections that carry requests use at most a third of the descriptors. Connections that
 // have sent a request may keep three quarters of that third; a quarter stays free for new ones.
--- a/src/http/client_session.hpp
+++ b/src/http/client_session.hpp
@@ -67,11 +67,11 @@
 enum class SessionState {
   awaiting_request,    ///< Connected; the first request is incomplete and not streamed.
   idle,                ///< Between two requests.
-  reading_head,        ///< Of a later request, with its body as long as it is buffered.
-  receiving_body,      ///< Passed to a BodyStream as it arrives.
+  reading_head,        ///< Of a later request, and its body as long as that is buffered.
+  receiving_body,      ///< Of a request; it is passed to a BodyStream as it arrives.
   awaiting_response,   ///< The request is complete.
-  writing_response,    ///< Its body is complete.
-  streaming_response,  ///< Its body comes from a BodyStream.
+  writing_response,    ///< A response whose body is complete.
+  streaming_response,  ///< A response whose body comes from a BodyStream.
   lingering,           ///< The gateway's side is shut down; further input is discarded.
   closed
 };
