--- a/tests/load_balancer/decision_test.cpp
+++ b/tests/load_balancer/decision_test.cpp
@@ -101,8 +101,8 @@
   EXPECT_LT(fixture.capacity(4), 0.3 * fixture.capacity(0));
 }
 
-// A short lack of load reports must not change the estimate, but an old estimate must not remain in
-// use for ever.
+// A short lack of load reports must not change the estimate, but an old estimate must not stay in
+// use.
 TEST(SlowStartComponent, CapacityFadesSlowlyWithoutReports) {
   SlowStartFixture fixture;
   fixture.add_hosts(4, Time{});
--- a/tests/load_balancer/gateway_count_test.cpp
+++ b/tests/load_balancer/gateway_count_test.cpp
@@ -433,7 +433,7 @@
 
 // A slow host that the gateway does not know as slow yet would use up the whole latency objective
 // of a request that another host could serve in time.
-TEST(Hedging, SecondAttemptIsSentOnlyIfAllowedAndRepeatable) {
+TEST(Hedging, HedgedAttemptIsSentOnlyIfAllowedAndForIdempotentRequests) {
   for (bool allow_hedging : {true, false}) {
     Settings settings = make_settings();
     settings.allow_hedging = allow_hedging;
@@ -487,7 +487,7 @@
 
 // If each of hundreds of gateways could save up 30 retries, overloaded hosts would get all of them
 // at once.
-TEST(RetryTokens, LowTrafficGatewaySavesFew) {
+TEST(RetryTokens, LowTrafficGatewaySavesUpFewTokens) {
   Settings settings = make_settings();
   settings.max_attempts = 2;
   Driver driver(settings, 20);
@@ -501,7 +501,7 @@
     }
     driver.advance(milliseconds(20));
   }
-  EXPECT_LE(driver.sent.size(), 20u + 13u);
+  EXPECT_LE(driver.sent.size(), 20u + 13u);  // first attempts and retries
 }
 
 // A gateway that sends a host a request once in many seconds learns its latency too late; that of
