--- a/src/replicated_store/file_io.cpp
+++ b/src/replicated_store/file_io.cpp
@@ -48,36 +48,36 @@
   std::ifstream in(file, std::ios::binary);
   std::string bytes((std::istreambuf_iterator<char>(in)), {});
   if (!in.good() && !in.eof()) {
-    throw DiskError(file, "can't be read");
+    throw DiskError(file, "cannot be read");
   }
   return bytes;
 }
 
 bool write_at(int fd, const std::string& bytes, std::uint64_t offset) {
-  std::size_t done = 0;
-  while (done < bytes.size()) {
-    const ssize_t written =
-        ::pwrite(fd, bytes.data() + done, bytes.size() - done, static_cast<off_t>(offset + done));
-    if (written < 0 && errno == EINTR) {
+  std::size_t written = 0;
+  while (written < bytes.size()) {
+    const ssize_t result = ::pwrite(fd, bytes.data() + written, bytes.size() - written,
+                                    static_cast<off_t>(offset + written));
+    if (result < 0 && errno == EINTR) {
       continue;
     }
-    if (written <= 0) {
+    if (result <= 0) {
       return false;
     }
-    done += static_cast<std::size_t>(written);
+    written += static_cast<std::size_t>(result);
   }
   return true;
 }
 
 void write_file_atomically(const fs::path& file, const std::string& bytes) {
-  constexpr unsigned kOwnerOnly = 0600;
+  constexpr unsigned kOwnerOnlyMode = 0600;
   const fs::path temporary = file.string() + ".new";
-  FileDescriptor fd(temporary, O_WRONLY | O_CREAT | O_TRUNC, kOwnerOnly);
+  FileDescriptor fd(temporary, O_WRONLY | O_CREAT | O_TRUNC, kOwnerOnlyMode);
   if (!write_at(fd.get(), bytes, 0) || ::fsync(fd.get()) != 0) {
-    const int reason = errno;
+    const int error = errno;
     fd.close();
     ::unlink(temporary.c_str());
-    errno = reason;
+    errno = error;
     throw_errno(temporary, "write");
   }
   fd.close();
--- a/src/replicated_store/log_format.cpp
+++ b/src/replicated_store/log_format.cpp
@@ -6,12 +6,13 @@
 namespace gateway::replicated_store {
 namespace {
 
-// Positions within a record.
 constexpr std::size_t kLengthBytes = 4;
-constexpr std::size_t kRecordChecksumAt = 4;
-constexpr std::size_t kRecordIndexAt = 12;
-constexpr std::size_t kRecordTermAt = 20;
-constexpr std::size_t kRecordKindAt = 28;
+
+// Offsets of the fields within a record.
+constexpr std::size_t kRecordChecksumOffset = 4;
+constexpr std::size_t kRecordIndexOffset = 12;
+constexpr std::size_t kRecordTermOffset = 20;
+constexpr std::size_t kRecordKindOffset = 28;
 
 void append_number(std::string& out, std::uint64_t value, std::size_t bytes) {
   for (std::size_t i = 0; i < bytes; ++i) {
@@ -19,10 +20,10 @@
   }
 }
 
-std::uint64_t read_number(const std::string& in, std::size_t at, std::size_t bytes) {
+std::uint64_t read_number(const std::string& in, std::size_t offset, std::size_t bytes) {
   std::uint64_t value = 0;
   for (std::size_t i = 0; i < bytes; ++i) {
-    value |= static_cast<std::uint64_t>(static_cast<unsigned char>(in[at + i])) << (8 * i);
+    value |= static_cast<std::uint64_t>(static_cast<unsigned char>(in[offset + i])) << (8 * i);
   }
   return value;
 }
@@ -41,8 +42,8 @@
   return out;
 }
 
-std::uint64_t decode_number(const std::string& bytes, std::size_t at) {
-  return read_number(bytes, at, kNumberBytes);
+std::uint64_t decode_number(const std::string& bytes, std::size_t offset) {
+  return read_number(bytes, offset, kNumberBytes);
 }
 
 std::string with_checksum(std::string body) {
@@ -72,31 +73,32 @@
   return out + body;
 }
 
-std::size_t record_size_at(const std::string& bytes, std::size_t at) {
-  if (bytes.size() < at + kRecordHeaderBytes) {
+std::size_t record_size_at(const std::string& bytes, std::size_t offset) {
+  if (bytes.size() < offset + kRecordHeaderBytes) {
     return 0;
   }
-  const std::uint64_t length = read_number(bytes, at, kLengthBytes);
-  if (length > kMaxEntryBytes || bytes.size() - at - kRecordHeaderBytes < length) {
+  const std::uint64_t length = read_number(bytes, offset, kLengthBytes);
+  if (length > kMaxEntryBytes || bytes.size() - offset - kRecordHeaderBytes < length) {
     return 0;
   }
   const std::size_t size = kRecordHeaderBytes + length;
-  const char* body = bytes.data() + at + kRecordIndexAt;
-  if (decode_number(bytes, at + kRecordChecksumAt) != checksum(body, size - kRecordIndexAt)) {
+  const char* body = bytes.data() + offset + kRecordIndexOffset;
+  if (decode_number(bytes, offset + kRecordChecksumOffset) !=
+      checksum(body, size - kRecordIndexOffset)) {
     return 0;
   }
   return size;
 }
 
-std::uint64_t record_index_at(const std::string& bytes, std::size_t at) {
-  return decode_number(bytes, at + kRecordIndexAt);
+std::uint64_t record_index_at(const std::string& bytes, std::size_t offset) {
+  return decode_number(bytes, offset + kRecordIndexOffset);
 }
 
-LogEntry decode_record(const std::string& bytes, std::size_t at, std::size_t size) {
+LogEntry decode_record(const std::string& bytes, std::size_t offset, std::size_t size) {
   LogEntry entry;
-  entry.term = decode_number(bytes, at + kRecordTermAt);
-  entry.kind = static_cast<std::uint8_t>(bytes[at + kRecordKindAt]);
-  entry.data = bytes.substr(at + kRecordHeaderBytes, size - kRecordHeaderBytes);
+  entry.term = decode_number(bytes, offset + kRecordTermOffset);
+  entry.kind = static_cast<std::uint8_t>(bytes[offset + kRecordKindOffset]);
+  entry.data = bytes.substr(offset + kRecordHeaderBytes, size - kRecordHeaderBytes);
   return entry;
 }
 
--- a/src/replicated_store/log_format.hpp
+++ b/src/replicated_store/log_format.hpp
@@ -5,8 +5,8 @@
 //   segment file   header (magic, cluster, first index, checksum), then records
 //   record         length of the data (4 bytes), checksum, index, term, kind (1 byte), data
 //
-// Fields without a size have 8 bytes. A checksum is XXH3 over what precedes it in its structure;
-// that of a record is over what follows it.
+// A field has 8 bytes unless stated otherwise. A checksum is the XXH3 hash of the bytes before it
+// in its structure; that of a record is the hash of the record's bytes after it.
 #pragma once
 
 #include <cstdint>
@@ -17,6 +17,7 @@
 
 namespace gateway::replicated_store {
 
+// An entry of the replicated log.
 struct LogEntry {
   std::uint64_t term = 0;
   std::uint8_t kind = 0;  // opaque to the log
@@ -31,32 +32,35 @@
 inline constexpr std::size_t kMetaBytes = 5 * kNumberBytes;
 inline constexpr std::size_t kSnapshotHeaderBytes = 4 * kNumberBytes;
 inline constexpr std::size_t kRecordHeaderBytes = 4 + 8 + 8 + 8 + 1;
-inline constexpr std::uint32_t kMaxEntryBytes = 16 << 20;
+inline constexpr std::uint32_t kMaxEntryBytes = 16 << 20;  // of the data
 
-// Positions of the 8-byte numbers that meta, snapshot and segment files begin with.
-inline constexpr std::size_t kMagicAt = 0;
-inline constexpr std::size_t kClusterAt = 8;
-inline constexpr std::size_t kThirdNumberAt = 16;
-inline constexpr std::size_t kFourthNumberAt = 24;
+// Offsets of the 8-byte numbers at the beginning of meta, snapshot and segment files. The third and
+// fourth number differ by file, see above.
+inline constexpr std::size_t kMagicOffset = 0;
+inline constexpr std::size_t kClusterOffset = 8;
+inline constexpr std::size_t kThirdNumberOffset = 16;
+inline constexpr std::size_t kFourthNumberOffset = 24;
 
-// Encodes numbers of 8 bytes each.
+// Encodes each number in 8 bytes.
 std::string encode_numbers(std::initializer_list<std::uint64_t> numbers);
-std::uint64_t decode_number(const std::string& bytes, std::size_t at);
+std::uint64_t decode_number(const std::string& bytes, std::size_t offset);
 
+// Appends the checksum of the body to it.
 std::string with_checksum(std::string body);
-// Whether the last 8 bytes are the checksum of the others.
+// Whether the last 8 bytes are the checksum of the bytes before them.
 bool has_valid_checksum(const std::string& bytes);
 
 std::string encode_segment_header(std::uint64_t cluster, std::uint64_t first_index);
 
 std::string encode_record(std::uint64_t index, const LogEntry& entry);
-// The size of the complete record at this position, or 0 if there is none whose checksum matches.
-std::size_t record_size_at(const std::string& bytes, std::size_t at);
-std::uint64_t record_index_at(const std::string& bytes, std::size_t at);
-// Decodes a record of the given size, see record_size_at().
-LogEntry decode_record(const std::string& bytes, std::size_t at, std::size_t size);
+// The size of the record at this offset; 0 if it is incomplete or its checksum does not match.
+std::size_t record_size_at(const std::string& bytes, std::size_t offset);
+// The index of the entry; only for a record for which record_size_at() is not 0.
+std::uint64_t record_index_at(const std::string& bytes, std::size_t offset);
+// Decodes the record at this offset; `size` is that from record_size_at().
+LogEntry decode_record(const std::string& bytes, std::size_t offset, std::size_t size);
 
-// The number in a file name such as "log-17"; nothing if the name is not prefix and digits.
+// The number in a file name such as "log-17"; no value if the name is not the prefix and digits.
 std::optional<std::uint64_t> index_in_file_name(const std::filesystem::path& file,
                                                 const std::string& prefix);
 
--- a/src/replicated_store/state_machine.cpp
+++ b/src/replicated_store/state_machine.cpp
@@ -20,10 +20,10 @@
   if (command.number == 0 || command.client.empty()) {
     return execute_operation();
   }
-  const auto known = clients_.find(command.client);
-  if (known != clients_.end()) {
-    ClientRecord& record = known->second;
-    record.last_use = ++uses_;
+  const auto client = clients_.find(command.client);
+  if (client != clients_.end()) {
+    ClientRecord& record = client->second;
+    record.last_use = ++use_counter_;
     if (command.number == record.number) {
       return record.result;
     }
@@ -32,10 +32,10 @@
     }
   }
   const CommandResult executed = execute_operation();
-  if (known == clients_.end() && clients_.size() >= limits_.clients) {
+  if (client == clients_.end() && clients_.size() >= limits_.clients) {
     forget_least_recently_used_client();
   }
-  clients_[command.client] = {command.number, executed, ++uses_};
+  clients_[command.client] = {command.number, executed, ++use_counter_};
   return executed;
 }
 
@@ -54,8 +54,8 @@
     return result(Status::invalid);
   }
   if (condition.lease != 0 || condition.fencing_token != 0) {
-    // An owner that was silent for too long may not know that its lease has ended. Its fencing
-    // token is no longer that of any lease.
+    // An owner that did not renew its lease in time may still write under it. The lease has ended
+    // by then, and its fencing token is not that of any later lease.
     const auto lease = leases_.find(condition.lease);
     if (lease == leases_.end() ||
         (condition.fencing_token != 0 && condition.fencing_token != lease->second.fencing_token)) {
@@ -143,8 +143,8 @@
   if (leases_.size() >= limits_.leases) {
     return result(Status::full);
   }
-  // The revision serves as the fencing token: of two leases the later one has the higher token,
-  // also after a restart.
+  // The revision serves as the fencing token: it only grows and is part of the snapshot, so that a
+  // later lease has a higher token also after a restart.
   ++revision_;
   leases_[++last_lease_] = {revision_, grant.time_to_live, now_ + grant.time_to_live, {}};
   return {Status::done, revision_, last_lease_, revision_};
@@ -168,8 +168,8 @@
   return result(Status::done);
 }
 
-// The leader's clock may jump, and that of the next leader may be behind: the log's clock never
-// goes back, and leases end by it alone.
+// The leader's clock may be set back, and that of the next leader may be behind. The log's clock
+// therefore ignores an earlier time, and leases end by the log's clock alone.
 CommandResult StateMachine::execute(const AdvanceClock& advance) {
   now_ = std::max(now_, advance.now);
   for (auto it = leases_.begin(); it != leases_.end();) {
--- a/src/replicated_store/state_machine_snapshot.cpp
+++ b/src/replicated_store/state_machine_snapshot.cpp
@@ -1,5 +1,5 @@
 // The snapshot format of the state machine: a CBOR array
-// [format, revision, last lease, uses, now, entries, leases, clients].
+// [format version, revision, last lease, use counter, now, entries, leases, clients].
 #include <nlohmann/json.hpp>
 
 #include "replicated_store/state_machine.hpp"
@@ -12,7 +12,8 @@
 constexpr std::uint64_t kFormatVersion = 1;
 constexpr std::size_t kFieldCount = 8;
 
-// Keys, values and names may be any bytes, so they are not encoded as text.
+// Keys, values and client names may contain any bytes, so they are encoded as CBOR byte strings;
+// text strings would have to be UTF-8.
 json to_binary(const std::string& bytes) {
   return json::binary({bytes.begin(), bytes.end()});
 }
@@ -41,8 +42,8 @@
                        client.result.lease, client.result.fencing_token});
   }
   std::string out;
-  json::to_cbor({kFormatVersion, revision_, last_lease_, uses_, now_, entries, leases, clients},
-                out);
+  json::to_cbor(
+      {kFormatVersion, revision_, last_lease_, use_counter_, now_, entries, leases, clients}, out);
   return out;
 }
 
@@ -56,7 +57,7 @@
     restored.revision_ = fields.at(1).get<Revision>();
     restored.compacted_revision_ = restored.revision_;
     restored.last_lease_ = fields.at(2).get<LeaseId>();
-    restored.uses_ = fields.at(3).get<std::uint64_t>();
+    restored.use_counter_ = fields.at(3).get<std::uint64_t>();
     restored.now_ = fields.at(4).get<Millis>();
     for (const json& lease : fields.at(6)) {
       restored.leases_[lease.at(0).get<LeaseId>()] = {
@@ -84,7 +85,7 @@
                                                      value.at(2).get<std::uint64_t>()};
     }
   } catch (const std::exception&) {
-    // Thrown by the library, or for an entry of a lease that does not exist.
+    // From the JSON library, or from leases_.at() for an entry of a lease that does not exist.
     return false;
   }
   *this = std::move(restored);
--- a/src/replicated_store/write_ahead_log.cpp
+++ b/src/replicated_store/write_ahead_log.cpp
@@ -17,19 +17,20 @@
 constexpr auto kSegmentPrefix = "log-";
 constexpr auto kSnapshotPrefix = "snapshot-";
 
-CorruptLogError corrupt_segment(const fs::path& file, std::size_t at, const std::string& problem) {
-  return {file, problem + " at byte " + std::to_string(at) +
-                    "; restore it, or empty the folder and join anew"};
+CorruptLogError corrupt_segment(const fs::path& file, std::size_t offset,
+                                const std::string& problem) {
+  return {file, problem + " at byte " + std::to_string(offset) +
+                    "; restore the file, or empty the directory and rejoin the cluster"};
 }
 
 }  // namespace
 
 WriteAheadLog::WriteAheadLog(fs::path directory, Settings settings)
     : directory_(std::move(directory)), settings_(settings) {
-  std::error_code ec;
-  fs::create_directories(directory_, ec);
-  if (ec) {
-    throw DiskError(directory_, ec.message());
+  std::error_code error;
+  fs::create_directories(directory_, error);
+  if (error) {
+    throw DiskError(directory_, error.message());
   }
   read_meta();
   read_latest_snapshot();
@@ -55,17 +56,17 @@
     return;
   }
   const std::string bytes = read_file(file);
-  // The file is written atomically, so it was damaged later. A member that ignored it could vote
-  // twice in a term.
+  // The file is written atomically, so one that does not match its checksum was damaged later. A
+  // member that ignored it could vote twice in a term.
   if (bytes.size() != kMetaBytes || !has_valid_checksum(bytes) ||
-      decode_number(bytes, kMagicAt) != kMagic) {
-    throw CorruptLogError(file,
-                          "doesn't fit its sum; empty the folder and join anew under another id");
+      decode_number(bytes, kMagicOffset) != kMagic) {
+    throw CorruptLogError(
+        file, "checksum mismatch; empty the directory and rejoin under another member id");
   }
-  if (decode_number(bytes, kClusterAt) != settings_.cluster) {
-    throw DiskError(file, "belongs to another cluster; use this member's own folder");
+  if (decode_number(bytes, kClusterOffset) != settings_.cluster) {
+    throw DiskError(file, "belongs to another cluster; use this member's own directory");
   }
-  vote_ = {decode_number(bytes, kThirdNumberAt), decode_number(bytes, kFourthNumberAt)};
+  vote_ = {decode_number(bytes, kThirdNumberOffset), decode_number(bytes, kFourthNumberOffset)};
 }
 
 void WriteAheadLog::read_latest_snapshot() {
@@ -77,15 +78,17 @@
   const std::string bytes = read_file(file);
   // The file is written atomically, so one that does not match its checksum was damaged later.
   if (bytes.size() < kSnapshotHeaderBytes + kChecksumBytes || !has_valid_checksum(bytes) ||
-      decode_number(bytes, kMagicAt) != kMagic || decode_number(bytes, kThirdNumberAt) != index) {
-    throw CorruptLogError(file,
-                          "doesn't fit its sum; restore it, or empty the folder and join anew");
+      decode_number(bytes, kMagicOffset) != kMagic ||
+      decode_number(bytes, kThirdNumberOffset) != index) {
+    throw CorruptLogError(
+        file,
+        "checksum or index mismatch; restore it, or empty the directory and rejoin the cluster");
   }
-  if (decode_number(bytes, kClusterAt) != settings_.cluster) {
+  if (decode_number(bytes, kClusterOffset) != settings_.cluster) {
     throw DiskError(file, "belongs to another cluster");
   }
   const std::size_t data_size = bytes.size() - kSnapshotHeaderBytes - kChecksumBytes;
-  snapshot_ = {index, decode_number(bytes, kFourthNumberAt),
+  snapshot_ = {index, decode_number(bytes, kFourthNumberOffset),
                bytes.substr(kSnapshotHeaderBytes, data_size)};
   first_index_ = index + 1;
 }
@@ -96,14 +99,14 @@
     first_index_ = files.front().first;
   }
   if (first_index_ > snapshot_.index + 1) {
-    throw CorruptLogError(files.front().second,
-                          "entries from " + std::to_string(snapshot_.index + 1) + " to " +
-                              std::to_string(first_index_ - 1) + " are missing before it");
+    throw CorruptLogError(files.front().second, "entries " + std::to_string(snapshot_.index + 1) +
+                                                    " to " + std::to_string(first_index_ - 1) +
+                                                    " before this file are missing");
   }
   for (std::size_t i = 0; i < files.size(); ++i) {
     const bool is_last = i + 1 == files.size();
     read_segment(files[i].second, files[i].first,
-                 is_last ? Position::last : Position::before_others);
+                 is_last ? SegmentPosition::last : SegmentPosition::inner);
   }
   if (is_superseded_by_snapshot()) {
     remove_all_segments();
@@ -115,8 +118,8 @@
   }
 }
 
-// A snapshot from another member replaces the whole log, parts of which may still be there after a
-// power failure.
+// A snapshot from another member replaces the whole log, but after a power failure some of the old
+// segments may remain. Their entries do not belong to the log that the snapshot continues.
 bool WriteAheadLog::is_superseded_by_snapshot() const {
   if (next_index() <= snapshot_.index) {
     return true;
@@ -125,7 +128,7 @@
 }
 
 void WriteAheadLog::read_segment(const fs::path& file, std::uint64_t first_index,
-                                 Position position) {
+                                 SegmentPosition position) {
   const std::string bytes = read_file(file);
   Segment segment{first_index, file, {}};
   if (!has_valid_header(segment, bytes, position)) {
@@ -135,20 +138,20 @@
   }
   if (first_index != next_index()) {
     throw corrupt_segment(file, 0,
-                          "begins with entry " + std::to_string(first_index) + " where " +
-                              std::to_string(next_index()) + " should follow, which is wrong");
+                          "first entry is " + std::to_string(first_index) + " instead of " +
+                              std::to_string(next_index()));
   }
   read_records(segment, bytes, position);
   segments_.push_back(std::move(segment));
 }
 
-// False if the last segment was created but its header not completely written, so that it holds
-// nothing. Throws if the header is invalid otherwise.
+// False if this is the last segment and its header is incomplete, so that it contains no records.
+// Throws if the header is invalid in any other respect.
 bool WriteAheadLog::has_valid_header(const Segment& segment, const std::string& bytes,
-                                     Position position) {
+                                     SegmentPosition position) {
   if (bytes.size() < kSegmentHeaderBytes) {
-    if (position != Position::last) {
-      throw corrupt_segment(segment.file, bytes.size(), "ends within its head");
+    if (position != SegmentPosition::last) {
+      throw corrupt_segment(segment.file, bytes.size(), "file ends within the segment header");
     }
     return false;
   }
@@ -156,38 +159,40 @@
   if (bytes.starts_with(expected)) {
     return true;
   }
-  if (decode_number(bytes, kMagicAt) == kMagic &&
-      decode_number(bytes, kClusterAt) != settings_.cluster) {
-    throw DiskError(segment.file, "belongs to another cluster; use this member's own folder");
+  if (decode_number(bytes, kMagicOffset) == kMagic &&
+      decode_number(bytes, kClusterOffset) != settings_.cluster) {
+    throw DiskError(segment.file, "belongs to another cluster; use this member's own directory");
   }
-  throw corrupt_segment(segment.file, 0, "its head doesn't fit");
+  throw corrupt_segment(segment.file, 0, "invalid segment header");
 }
 
-void WriteAheadLog::read_records(Segment& segment, const std::string& bytes, Position position) {
-  std::size_t at = kSegmentHeaderBytes;
-  while (at < bytes.size()) {
-    const std::size_t size = record_size_at(bytes, at);
-    if (size == 0 || record_index_at(bytes, at) != next_index()) {
-      // In the last segment this is a truncated tail if no valid record follows. Else something in
-      // the middle is lost.
-      if (position != Position::last || has_later_record(bytes, at)) {
-        throw corrupt_segment(segment.file, at,
-                              "entry " + std::to_string(next_index()) + " doesn't fit its sum");
+void WriteAheadLog::read_records(Segment& segment, const std::string& bytes,
+                                 SegmentPosition position) {
+  std::size_t offset = kSegmentHeaderBytes;
+  while (offset < bytes.size()) {
+    const std::size_t size = record_size_at(bytes, offset);
+    if (size == 0 || record_index_at(bytes, offset) != next_index()) {
+      // In the last segment, bytes that no valid record follows are the rest of an interrupted
+      // append. Otherwise entries in the middle of the log are damaged.
+      if (position != SegmentPosition::last || has_later_record(bytes, offset)) {
+        throw corrupt_segment(
+            segment.file, offset,
+            "checksum or index mismatch in entry " + std::to_string(next_index()));
       }
-      truncated_bytes_ += bytes.size() - at;
-      fs::resize_file(segment.file, at);
+      truncated_bytes_ += bytes.size() - offset;
+      fs::resize_file(segment.file, offset);
       break;
     }
-    segment.offsets.push_back(at);
-    entries_.push_back(decode_record(bytes, at, size));
-    at += size;
+    segment.offsets.push_back(offset);
+    entries_.push_back(decode_record(bytes, offset, size));
+    offset += size;
   }
-  segment.offsets.push_back(at);
+  segment.offsets.push_back(offset);
 }
 
 bool WriteAheadLog::has_later_record(const std::string& bytes, std::size_t after) const {
-  for (std::size_t at = after + 1; at < bytes.size(); ++at) {
-    if (record_size_at(bytes, at) > 0 && record_index_at(bytes, at) > next_index()) {
+  for (std::size_t offset = after + 1; offset < bytes.size(); ++offset) {
+    if (record_size_at(bytes, offset) > 0 && record_index_at(bytes, offset) > next_index()) {
       return true;
     }
   }
@@ -226,19 +231,19 @@
   std::vector<std::uint64_t> ends;
   for (const LogEntry& entry : entries) {
     if (entry.data.size() > kMaxEntryBytes) {
-      throw DiskError(segment.file, "an entry is too large");
+      throw DiskError(segment.file, "entry exceeds the maximum size of 16 MiB");
     }
     bytes += encode_record(next_index() + ends.size(), entry);
     ends.push_back(start + bytes.size());
   }
   const int fd = last_segment_.get();
   if (!write_at(fd, bytes, start) || ::fdatasync(fd) != 0) {
-    const int reason = errno;
-    // Records that remain would be read as entries at the next start. If this fails too, the next
-    // append overwrites them, or the next start cuts them off or keeps entries that were never
-    // acknowledged.
+    const int error = errno;
+    // Removes records that were written, which the next start would read as entries. If this fails
+    // too, the next append overwrites them; without one, the next start removes an incomplete
+    // record and keeps complete ones, although they were never acknowledged.
     [[maybe_unused]] const int ignored = ::ftruncate(fd, static_cast<off_t>(start));
-    errno = reason;
+    errno = error;
     throw_errno(segment.file, "write");
   }
   entries_.insert(entries_.end(), entries.begin(), entries.end());
@@ -251,8 +256,8 @@
   }
   from = std::max(from, first_index_);
   bool removed_segments = false;
-  // From the end, so that a power failure between two steps leaves a log that is valid, only
-  // longer.
+  // Removes segments from the end, so that a power failure between two steps leaves a valid log
+  // with more entries than intended.
   while (segments_.size() > 1 && segments_.back().first_index >= from) {
     last_segment_.close();
     fs::remove(segments_.back().file);
@@ -305,7 +310,8 @@
   open_segment(first_index_);
 }
 
-// From the end, so that a power failure leaves the beginning of the log without a gap.
+// Removes segments from the end, so that a power failure in between leaves the beginning of the log
+// without a gap.
 void WriteAheadLog::remove_all_segments() {
   while (!segments_.empty()) {
     fs::remove(segments_.back().file);
--- a/src/replicated_store/write_ahead_log.hpp
+++ b/src/replicated_store/write_ahead_log.hpp
@@ -1,14 +1,16 @@
-// The replicated store's log on disk: what a member has promised to remember, through power
-// failures and incomplete writes. It consists of segments of records with checksums, a snapshot,
-// and the term and vote. Every call that returns has its bytes on the disk.
+// The replicated store's log on disk. It keeps everything that a member has acknowledged through
+// power failures and incomplete writes, and consists of segments of records with checksums, a
+// snapshot, and the term and vote. A call that stores something returns only after it is on the
+// disk.
 //
 // A directory holds the files of one member:
 //   meta              term and vote
 //   log-INDEX         a segment: the records from that index on
-//   snapshot-INDEX    the state up to that index
-// A record that is incomplete at the very end was never acknowledged and is cut off. Anything else
-// that does not match its checksum is an error: what is lost in the middle may have been
-// acknowledged. log_format.hpp describes the format.
+//   snapshot-INDEX    the state up to and including that index
+// Invalid bytes at the end of the last segment, with no valid record after them, are the rest of an
+// interrupted append. They were never acknowledged and are removed when the log is opened. Any
+// other checksum mismatch is an error, because the damaged part may have been acknowledged.
+// log_format.hpp describes the format.
 //
 // Not thread-safe.
 #pragma once
@@ -24,12 +26,14 @@
 
 namespace gateway::replicated_store {
 
+// The log of one member. Keeps all entries in memory as well.
 class WriteAheadLog {
  public:
   struct Settings {
-    std::size_t segment_bytes = 4 << 20;  // a new segment begins beyond this size
-    std::uint64_t cluster = 0;            // files of another cluster are rejected
+    std::size_t segment_bytes = 4 << 20;  // an append to a segment of this size begins a new one
+    std::uint64_t cluster = 0;            // cluster id; files of another cluster are rejected
   };
+  // The member's current term, and the member that it voted for in that term.
   struct Vote {
     std::uint64_t term = 0;
     std::uint64_t voted_for = 0;  // 0: no member
@@ -42,28 +46,30 @@
     bool operator==(const Snapshot&) const = default;
   };
 
-  // Reads the files in the directory; an empty or missing one belongs to a new member. Throws
-  // DiskError or CorruptLogError.
+  // Reads the files in the directory, which is created if it is missing; an empty directory gives
+  // the empty log of a new member. Throws DiskError or CorruptLogError.
   WriteAheadLog(std::filesystem::path directory, Settings settings);
 
   const Vote& vote() const { return vote_; }
   const Snapshot& snapshot() const { return snapshot_; }
-  // The index of the first entry held, or of the next one if none is.
+  // The index of the first entry in the log, or next_index() if the log is empty.
   std::uint64_t first_index() const { return first_index_; }
+  // The index that the next appended entry receives.
   std::uint64_t next_index() const { return first_index_ + entries_.size(); }
+  // Throws std::out_of_range if the index is not in the log.
   const LogEntry& at(std::uint64_t index) const { return entries_.at(index - first_index_); }
-  // Bytes of a truncated tail that were cut off when the log was opened.
+  // Bytes of an interrupted append that were removed when the log was opened.
   std::uint64_t truncated_bytes() const { return truncated_bytes_; }
 
-  // All of these throw DiskError.
+  // The following functions throw DiskError.
   void set_vote(const Vote& vote);
-  // Appends from next_index() on. If it throws, for instance because the disk is full, none of the
-  // entries is kept.
+  // Appends entries from next_index() on. If it throws, for instance because the disk is full, none
+  // of the entries is in the log.
   void append(const std::vector<LogEntry>& entries);
   // Removes the entries from this index on.
   void truncate(std::uint64_t from);
-  // Stores a snapshot and removes the segments that hold nothing after its index, but for
-  // `trailing_entries` before it.
+  // Stores a snapshot and removes the segments of which all entries are included in it, except for
+  // those with any of the last `trailing_entries` included entries.
   void save_snapshot(Snapshot snapshot, std::uint64_t trailing_entries = 0);
   // Stores a snapshot from another member, which replaces the whole log.
   void install_snapshot(Snapshot snapshot);
@@ -72,9 +78,10 @@
   struct Segment {
     std::uint64_t first_index = 0;
     std::filesystem::path file;
-    std::vector<std::uint64_t> offsets;  // of each record, and of the end
+    std::vector<std::uint64_t> offsets;  // of each record, and of the end of the last
   };
-  enum class Position : std::uint8_t { last, before_others };
+  // Only the last segment may end with an interrupted append.
+  enum class SegmentPosition : std::uint8_t { last, inner };
 
   using IndexedFiles = std::vector<std::pair<std::uint64_t, std::filesystem::path>>;
   IndexedFiles find_files(const std::string& prefix) const;  // ascending by index
@@ -82,9 +89,9 @@
   void read_latest_snapshot();
   void read_segments();
   void read_segment(const std::filesystem::path& file, std::uint64_t first_index,
-                    Position position);
-  bool has_valid_header(const Segment& segment, const std::string& bytes, Position position);
-  void read_records(Segment& segment, const std::string& bytes, Position position);
+                    SegmentPosition position);
+  bool has_valid_header(const Segment& segment, const std::string& bytes, SegmentPosition position);
+  void read_records(Segment& segment, const std::string& bytes, SegmentPosition position);
   bool has_later_record(const std::string& bytes, std::size_t after) const;
   bool is_superseded_by_snapshot() const;
   void open_segment(std::uint64_t first_index);
--- a/tests/replicated_store/replicated_store_test.cpp
+++ b/tests/replicated_store/replicated_store_test.cpp
@@ -1,6 +1,6 @@
 // Tests of the replicated store: the state machine with retried commands, expired leases, compacted
-// watches and a full store; the write-ahead log with truncated, corrupt and foreign files and a
-// full disk.
+// watches and a full store; the write-ahead log with incomplete and corrupt files, files of another
+// cluster and a full disk.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 #include <sys/resource.h>
@@ -34,6 +34,8 @@
   return {{}, lease, fencing_token};
 }
 
+// A client that lost the response sends its command again. Executed twice, the command would
+// conflict with its own first effect or undo a later write.
 TEST(StateMachine, RetriedCommandTakesEffectOnce) {
   StateMachine machine;
   Command command = put("count", "1", expecting(0));
@@ -42,11 +44,11 @@
   const CommandResult first = machine.apply(command);
   EXPECT_EQ(first.status, Status::done);
   machine.apply(put("count", "2"));
-  EXPECT_EQ(machine.apply(command), first) << "not a conflict, but the first result";
+  EXPECT_EQ(machine.apply(command), first) << "the first result instead of a conflict";
   EXPECT_EQ(machine.get("count")->value, "2");
   command.number = 4;
   EXPECT_EQ(machine.apply(command).status, Status::compacted);
-  // Also across a snapshot, and for each client separately.
+  // A snapshot includes the result, and each client has its own numbers.
   StateMachine restored;
   ASSERT_TRUE(restored.restore(machine.snapshot()));
   command.number = 5;
@@ -55,15 +57,17 @@
   EXPECT_EQ(restored.apply(command).status, Status::conflict);
 }
 
+// An owner that was paused beyond its lease's lifetime continues to write as if it still held the
+// lease, while another owner already holds the next one.
 TEST(StateMachine, ExpiredLeaseErasesItsKeysAndItsFencingTokenIsRejected) {
   StateMachine machine;
   machine.apply(command(AdvanceClock{1000}));
-  const CommandResult old = machine.apply(command(GrantLease{500}));
-  WriteCondition owned = under_lease(old.lease, old.fencing_token);
-  owned.expected_revision = 0;
-  EXPECT_EQ(machine.apply(put("coordinator", "g1", owned)).status, Status::done);
+  const CommandResult expired = machine.apply(command(GrantLease{500}));
+  WriteCondition new_key_under_lease = under_lease(expired.lease, expired.fencing_token);
+  new_key_under_lease.expected_revision = 0;
+  EXPECT_EQ(machine.apply(put("coordinator", "g1", new_key_under_lease)).status, Status::done);
   machine.apply(command(AdvanceClock{1400}));
-  EXPECT_EQ(machine.apply(command(RenewLease{old.lease})).fencing_token, old.fencing_token);
+  EXPECT_EQ(machine.apply(command(RenewLease{expired.lease})).fencing_token, expired.fencing_token);
   machine.apply(command(AdvanceClock{900}));  // from a new leader whose clock is behind
   EXPECT_EQ(machine.now(), 1400u);
   machine.apply(command(AdvanceClock{1899}));
@@ -71,18 +75,20 @@
   machine.apply(command(AdvanceClock{1900}));
   EXPECT_EQ(machine.get("coordinator"), nullptr);
   const CommandResult next = machine.apply(command(GrantLease{500}));
-  EXPECT_GT(next.fencing_token, old.fencing_token);
-  EXPECT_NE(next.lease, old.lease);
+  EXPECT_GT(next.fencing_token, expired.fencing_token);
+  EXPECT_NE(next.lease, expired.lease);
   const auto write_as = [&machine](LeaseId lease, Revision fencing_token) {
     return machine.apply(put("step", "3", under_lease(lease, fencing_token))).status;
   };
-  EXPECT_EQ(write_as(old.lease, old.fencing_token), Status::lease_not_found);
-  EXPECT_EQ(write_as(next.lease, old.fencing_token), Status::lease_not_found)
-      << "the id of the new lease without its token";
-  EXPECT_EQ(machine.apply(command(RenewLease{old.lease})).status, Status::lease_not_found);
+  EXPECT_EQ(write_as(expired.lease, expired.fencing_token), Status::lease_not_found);
+  EXPECT_EQ(write_as(next.lease, expired.fencing_token), Status::lease_not_found)
+      << "the id of the new lease with the fencing token of the expired lease";
+  EXPECT_EQ(machine.apply(command(RenewLease{expired.lease})).status, Status::lease_not_found);
   EXPECT_EQ(machine.get("step"), nullptr);
 }
 
+// A watch that silently skipped changes which are no longer in the history would leave its reader
+// with an outdated map.
 TEST(StateMachine, WatchReturnsEveryChangeInOrderUnlessCompacted) {
   StoreLimits limits;
   limits.history = 5;
@@ -107,7 +113,7 @@
   EXPECT_EQ(restored.list("a/").size(), 2u);
 }
 
-TEST(StateMachine, FullStoreRejectsCommandsAndLosesNothing) {
+TEST(StateMachine, FullStoreRejectsCommandsAndKeepsItsEntries) {
   StoreLimits limits;
   limits.keys = 3;
   limits.total_bytes = 40;
@@ -129,7 +135,7 @@
   EXPECT_EQ(machine.list("").size(), 3u);
 }
 
-// A command for the property test, made of small random numbers.
+// An operation for the property test, derived from small random numbers.
 Operation make_operation(int kind, const std::string& key, int n, Revision revision, Millis now) {
   WriteCondition condition;
   condition.lease = static_cast<LeaseId>(n % 3);
@@ -152,8 +158,8 @@
   }
 }
 
-// Members that apply the same log, one of them through a snapshot at any position, have the same
-// state to the byte.
+// Two members apply the same log, one of them with a snapshot and restore at a random position.
+// Their snapshots must be equal byte for byte after each command.
 TEST(StateMachine, SameLogProducesSameStateAndResults) {
   EXPECT_TRUE(rc::check([] {
     StateMachine a;
@@ -191,7 +197,7 @@
 
 namespace fs = std::filesystem;
 
-// The sizes of the format, see log_format.hpp, and of a record with 10 bytes of data.
+// The size of a segment header, and of a record with 10 bytes of data; see log_format.hpp.
 constexpr std::size_t kHeaderBytes = 32;
 constexpr std::size_t kRecordBytes = 29 + 10;
 
@@ -219,9 +225,9 @@
   }
   fs::path last_segment() const {
     std::pair<std::uint64_t, fs::path> last;
-    for (const auto& e : fs::directory_iterator(directory)) {
-      if (const std::string name = e.path().filename(); name.rfind("log-", 0) == 0) {
-        last = std::max(last, {std::stoull(name.substr(4)), e.path()});
+    for (const auto& file : fs::directory_iterator(directory)) {
+      if (const std::string name = file.path().filename(); name.rfind("log-", 0) == 0) {
+        last = std::max(last, {std::stoull(name.substr(4)), file.path()});
       }
     }
     return last.second;
@@ -238,7 +244,7 @@
   WriteAheadLog::Settings settings;
 };
 
-// A write-ahead log beside a model of what it must contain. Each operation is applied to both.
+// A write-ahead log and a model of its expected contents. Each operation is applied to both.
 class LogWithModel {
  public:
   LogWithModel(fs::path directory, WriteAheadLog::Settings settings)
@@ -279,7 +285,8 @@
     entries_.clear();
   }
   void expect_equal(int step) {
-    // Only complete segments are removed, and no entry after the snapshot.
+    // The log removes whole segments only, so the model adopts its first index; entries after the
+    // snapshot must remain.
     ASSERT_LE(log_->first_index(), snapshot_.index + 1) << step;
     if (log_->first_index() > first_) {
       const std::uint64_t removed =
@@ -310,6 +317,8 @@
   return entries;
 }
 
+// 600 random appends, truncations, votes, snapshots and reopenings with small segments, so that
+// operations cross segment boundaries.
 TEST_F(WriteAheadLogTest, ReopenedLogMatchesModelAfterRandomOperations) {
   std::mt19937_64 random(1);
   LogWithModel log(directory, settings);
@@ -337,7 +346,8 @@
   }
 }
 
-TEST_F(WriteAheadLogTest, TruncatedTailIsCutOffAtEveryByte) {
+// A crash during an append leaves any prefix of its bytes on the disk.
+TEST_F(WriteAheadLogTest, IncompleteLastRecordIsRemovedAtEveryLength) {
   settings.segment_bytes = 1 << 20;
   std::vector<LogEntry> entries;
   entries.reserve(5);
@@ -349,32 +359,34 @@
   const std::string complete = bytes_of(file);
   for (std::size_t size = kHeaderBytes; size <= complete.size(); ++size) {
     write(file, complete.substr(0, size));
-    const std::size_t left = (size - kHeaderBytes) / kRecordBytes;
+    const std::size_t complete_records = (size - kHeaderBytes) / kRecordBytes;
     WriteAheadLog log(directory, settings);
     ASSERT_EQ(entries_of(log),
-              std::vector<LogEntry>(entries.begin(),
-                                    entries.begin() + static_cast<std::ptrdiff_t>(left)));
+              std::vector<LogEntry>(entries.begin(), entries.begin() + static_cast<std::ptrdiff_t>(
+                                                                           complete_records)));
     EXPECT_EQ(log.truncated_bytes(), (size - kHeaderBytes) % kRecordBytes);
     log.append({entry(3, "after")});
-    EXPECT_EQ(reopened().size(), left + 1);
+    EXPECT_EQ(reopened().size(), complete_records + 1);
   }
 }
 
-TEST_F(WriteAheadLogTest, CorruptByteInTheMiddleIsAnErrorAndAtTheEndCutOff) {
+// A damaged record before the last may have been acknowledged, so the log must not open without it.
+// A damaged last record is indistinguishable from an interrupted append and is removed.
+TEST_F(WriteAheadLogTest, CorruptByteIsErrorBeforeLastRecordAndRemovedWithinIt) {
   settings.segment_bytes = 1 << 20;
   const std::vector<LogEntry> entries(4, entry(2, "0123456789"));
   WriteAheadLog(directory, settings).append(entries);
   const fs::path file = last_segment();
   const std::string complete = bytes_of(file);
   const std::size_t last_record = complete.size() - kRecordBytes;
-  for (std::size_t at = 0; at < complete.size(); ++at) {
+  for (std::size_t offset = 0; offset < complete.size(); ++offset) {
     std::string corrupt = complete;
-    corrupt[at] ^= 0x10;
+    corrupt[offset] ^= 0x10;
     write(file, corrupt);
-    if (at < last_record) {
-      EXPECT_THROW(WriteAheadLog(directory, settings), DiskError) << at;
+    if (offset < last_record) {
+      EXPECT_THROW(WriteAheadLog(directory, settings), DiskError) << offset;
     } else {
-      EXPECT_EQ(reopened().size(), 3u) << at;
+      EXPECT_EQ(reopened().size(), 3u) << offset;
     }
   }
   write(file, complete);
@@ -385,11 +397,11 @@
     WriteAheadLog log(directory, settings);
     FAIL();
   } catch (const CorruptLogError& error) {
-    EXPECT_NE(std::string(error.what()).find("entry 2 doesn't fit its sum at byte 71"),
+    EXPECT_NE(std::string(error.what()).find("checksum or index mismatch in entry 2 at byte 71"),
               std::string::npos)
         << error.what();
   }
-  // A missing segment between others is an error as well.
+  // A missing segment between others is an error too.
   write(file, complete);
   settings.segment_bytes = 1;
   {
@@ -402,29 +414,32 @@
   EXPECT_THROW(WriteAheadLog(directory, settings), CorruptLogError);
 }
 
-TEST_F(WriteAheadLogTest, FullDiskLosesNoEntryAndKeepsNoPartialAppend) {
+// The file size limit of the process stands for a full disk: a write beyond 4096 bytes is partial
+// and then fails. Records of the failed append that stay in the file would be read as entries.
+TEST_F(WriteAheadLogTest, FailedAppendOnFullDiskKeepsEarlierEntriesAndNoneOfItsOwn) {
   settings.segment_bytes = 1 << 20;
   WriteAheadLog log(directory, settings);
   log.append({entry(1, std::string(3000, 'a'))});
   log.set_vote({4, 2});
   std::signal(SIGXFSZ, SIG_IGN);
-  rlimit old{};
-  ::getrlimit(RLIMIT_FSIZE, &old);
-  rlimit low = old;
-  low.rlim_cur = 4096;
-  ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &low), 0);
+  rlimit initial_limit{};
+  ::getrlimit(RLIMIT_FSIZE, &initial_limit);
+  rlimit low_limit = initial_limit;
+  low_limit.rlim_cur = 4096;
+  ASSERT_EQ(::setrlimit(RLIMIT_FSIZE, &low_limit), 0);
   EXPECT_THROW(log.append({entry(1, "fits"), entry(1, std::string(3000, 'b'))}), DiskError);
   EXPECT_THROW(log.save_snapshot({1, 1, std::string(9000, 's')}), DiskError);
   EXPECT_EQ(log.next_index(), 2u);
   EXPECT_EQ(reopened().size(), 1u);
-  ::setrlimit(RLIMIT_FSIZE, &old);
+  ::setrlimit(RLIMIT_FSIZE, &initial_limit);
   log.append({entry(1, "now")});
   EXPECT_EQ(reopened().size(), 2u);
   EXPECT_EQ(WriteAheadLog(directory, settings).vote(), (WriteAheadLog::Vote{4, 2}));
   EXPECT_EQ(WriteAheadLog(directory, settings).snapshot().index, 0u);
 }
 
-TEST_F(WriteAheadLogTest, VoteIsDurableAndFilesOfOtherClusterAreRejected) {
+// A member that lost its vote could vote twice in a term, and two leaders could be elected.
+TEST_F(WriteAheadLogTest, VoteIsDurableAndCorruptOrOtherClustersFilesAreRejected) {
   {
     WriteAheadLog log(directory, settings);
     log.set_vote({5, 1});
@@ -432,11 +447,11 @@
   }
   EXPECT_EQ(WriteAheadLog(directory, settings).vote(), (WriteAheadLog::Vote{6, 3}));
   const std::string complete = bytes_of(directory / "meta");
-  for (std::size_t at = 0; at < complete.size(); ++at) {
+  for (std::size_t offset = 0; offset < complete.size(); ++offset) {
     std::string corrupt = complete;
-    corrupt[at] ^= 1;
+    corrupt[offset] ^= 1;
     write(directory / "meta", corrupt);
-    EXPECT_THROW(WriteAheadLog(directory, settings), DiskError) << at;
+    EXPECT_THROW(WriteAheadLog(directory, settings), DiskError) << offset;
   }
   write(directory / "meta", complete);
   settings.cluster = 8;
