--- a/src/fleet_state/outlier_consensus.hpp
+++ b/src/fleet_state/outlier_consensus.hpp
@@ -95,7 +95,7 @@
     std::uint32_t failures = 0;
   };
   using ResultsBySecond = std::map<std::int64_t, ResultCounts>;
-  // What this gateway's results within the window say about the hosts.
+  // This gateway's findings on the hosts, from its results within the window.
   struct OwnFindings {
     std::map<std::string, HealthReport> reports;  // to publish, by host
     std::size_t unhealthy_hosts = 0;
--- a/src/fleet_state/relayed_reports.hpp
+++ b/src/fleet_state/relayed_reports.hpp
@@ -41,7 +41,7 @@
   void remove_if(Predicate predicate);
 
   std::map<HealthReportKey, PendingReport> pending_;
-  std::map<std::string, std::size_t> first_relayed_counts_;  // pending keys by first relay
+  std::map<std::string, std::size_t> first_relayed_counts_;  // number of keys by first relay
 };
 
 }  // namespace gateway::fleet_state
--- a/tests/fleet_state/fleet_state_test.cpp
+++ b/tests/fleet_state/fleet_state_test.cpp
@@ -1,6 +1,6 @@
-// Tests of the state that a fleet shares under the failures it exists for: network partitions, lost
-// and duplicated messages, restarts, faulty observers and floods. The bounds are verified by the
-// laboratory's checker, which is itself shown to detect injected faults.
+// Tests of the state that a fleet shares under network partitions, lost and duplicated messages,
+// restarts, faulty observers and floods. The laboratory's checker verifies the budgets; a test with
+// injected faults verifies the checker.
 #include "fleet_state/fleet_state.hpp"
 
 #include <rapidcheck.h>
@@ -18,6 +18,7 @@
 
 constexpr fleet_state::Time kEpoch = std::chrono::seconds(1'700'000'000);
 
+// Defects of the shared state that the checker must detect.
 enum class InjectedFault {
   none,
   retries_without_token,
@@ -25,8 +26,8 @@
   dead_members_not_counted
 };
 
-// Members with their shared state in virtual time. Every request of the first `failing_members`
-// fails and asks for a retry.
+// A fleet of members with their shared state in virtual time. Every request at the first
+// `failing_members` fails once and then needs a retry.
 class SharedFleet {
  public:
   SharedFleet(std::size_t count, std::uint64_t seed, InjectedFault fault = InjectedFault::none)
@@ -38,26 +39,26 @@
     config.shares_host_health = true;
     sim.settings.min_suspicion_timeout = 2s;
     sim.settings.max_suspicion_timeout = 4s;
-    sim.payload_for = [this](std::size_t from, const std::string& to, std::size_t room) {
-      return states.at(from)->payload_for(to, room);
+    sim.payload_for = [this](std::size_t from, const std::string& to, std::size_t max_bytes) {
+      return states.at(from)->payload_for(to, max_bytes);
     };
-    sim.on_payload = [this](std::size_t to, const Message& m) {
-      states.at(to)->on_payload(unix(), m.from, m.payload);
+    sim.on_payload = [this](std::size_t to, const Message& message) {
+      states.at(to)->on_payload(unix_now(), message.from, message.payload);
       if (fault_ == InjectedFault::transfers_counted_twice) {
-        states.at(to)->on_payload(unix(), m.from + "'", m.payload);
+        states.at(to)->on_payload(unix_now(), message.from + "'", message.payload);
       }
     };
   }
-  fleet_state::Time unix() const { return kEpoch + sim.now(); }
+  fleet_state::Time unix_now() const { return kEpoch + sim.now(); }
   void start(std::size_t i) {
     states.resize(sim.nodes.size());
-    states[i] =
-        std::make_unique<FleetState>(config, FleetSimulator::name(i), 1000 * i + ++starts_, unix());
+    states[i] = std::make_unique<FleetState>(config, FleetSimulator::name(i), 1000 * i + ++starts_,
+                                             unix_now());
     states[i]->on_hosts(hosts);
     sim.start(i);
     const std::uint64_t start = starts_;
     running_start_[i] = start;
-    last_[i] = {};
+    logged_counters_[i] = {};
     sim.schedule(sim.now() + 1ms, [this, i, start] { tick(i, start); });
   }
   void start_all() {
@@ -70,14 +71,14 @@
     running_start_[i] = 0;
   }
   FleetCheck::Report report() const {
-    lab::FleetPromise promise;
-    promise.retry_share = config.retry_ratio.value();
-    promise.retry_lapse_s = config.retry_token_lifetime_slots;
-    promise.limits = {{"all", config.limits[0].requests_per_second}};
-    promise.limit_lapse_s = config.limit_token_lifetime_slots;
-    FleetCheck check(promise);
-    for (const auto& [by, line] : log_lines) {
-      check.line(by, line);
+    lab::FleetPromise bounds;
+    bounds.retry_share = config.retry_ratio.value();
+    bounds.retry_lapse_s = config.retry_token_lifetime_slots;
+    bounds.limits = {{"all", config.limits[0].requests_per_second}};
+    bounds.limit_lapse_s = config.limit_token_lifetime_slots;
+    FleetCheck check(bounds);
+    for (const auto& [member, line] : log_lines) {
+      check.line(member, line);
     }
     return check.report();
   }
@@ -91,7 +92,7 @@
   std::vector<std::string> hosts;
   double requests_per_second = 20;  // at each member
   std::size_t failing_members = 5;
-  std::vector<std::pair<std::string, std::string>> log_lines;
+  std::vector<std::pair<std::string, std::string>> log_lines;  // with the name of the member
 
  private:
   void tick(std::size_t i, std::uint64_t start) {
@@ -102,7 +103,7 @@
     if (sim.nodes[i].paused) {
       return;
     }
-    states[i]->on_tick(unix(), view_of(i));
+    states[i]->on_tick(unix_now(), view_of(i));
     send_updates(i);
     run_requests(i);
     log_usage(i);
@@ -141,43 +142,46 @@
     const bool without_token = fault_ == InjectedFault::retries_without_token && i == 3;
     const auto requests = std::poisson_distribution<int>(requests_per_second / 10)(random_);
     for (int n = 0; n < requests; ++n) {
-      state.try_admit(unix(), "any", "");
+      state.try_admit(unix_now(), "any", "");
       if (i >= failing_members) {
         continue;
       }
       if (state.allowed_retries() > 0 || without_token) {
-        state.on_retry_sent(unix());
+        state.on_retry_sent(unix_now());
       } else {
-        state.on_attempt_result(unix(), "some", false);
+        state.on_attempt_result(unix_now(), "some", false);
       }
     }
   }
 
-  // In the format of the fleet agent's log, which the checker reads.
+  // Logs the increase of the counters in the format of the fleet agent's log, which the checker
+  // reads.
   void log_usage(std::size_t i) {
-    const FleetState::Counters& now = states[i]->counters();
-    FleetState::Counters& last = last_[i];
-    last.admitted.resize(1);
-    const nlohmann::json line{{"t", unix() / 1ms},
+    const FleetState::Counters& counters = states[i]->counters();
+    FleetState::Counters& logged = logged_counters_[i];
+    logged.admitted.resize(1);
+    const nlohmann::json line{{"t", unix_now() / 1ms},
                               {"ev", "used"},
-                              {"requests", now.requests - last.requests},
-                              {"retries", now.retries - last.retries},
-                              {"refused", now.rejected - last.rejected},
-                              {"admitted", {{"all", now.admitted[0] - last.admitted[0]}}}};
+                              {"requests", counters.requests - logged.requests},
+                              {"retries", counters.retries - logged.retries},
+                              {"refused", counters.rejected - logged.rejected},
+                              {"admitted", {{"all", counters.admitted[0] - logged.admitted[0]}}}};
     log_lines.emplace_back(FleetSimulator::name(i), line.dump());
-    last = now;
+    logged = counters;
   }
 
   InjectedFault fault_;
   std::mt19937_64 random_;
   std::uint64_t starts_ = 0;
+  // By member: the start whose process is running, 0 after a kill. Ends the ticks of older ones.
   std::map<std::size_t, std::uint64_t> running_start_;
   std::map<std::size_t, membership::Time> urgent_sent_at_;
-  std::map<std::size_t, FleetState::Counters> last_;
+  std::map<std::size_t, FleetState::Counters> logged_counters_;
 };
 
-// A partition of 30 to 70, healed, one of three parts, healed, a blocked link, then a fifth of the
-// datagrams lost, with a kill and a pause.
+// A partition into 30 % and 70 % of the members, healed after 8 s, then a partition into three
+// parts, then a link that is blocked in one direction while every link loses a fifth of its
+// datagrams. In that last phase a member is killed and restarted, and another is paused for 3 s.
 void run_fault_scenario(SharedFleet& fleet) {
   fleet.start_all();
   fleet.sim.run_for(6s);
@@ -188,11 +192,11 @@
   fleet.partition([](std::size_t i) { return static_cast<int>(i % 3); });
   fleet.sim.run_for(8s);
   fleet.sim.link = [](std::size_t a, std::size_t b) {
-    FleetSimulator::Link l;
-    l.blocked = a == 4 && b == 9;
-    l.loss = 0.2;
-    l.jitter = 20ms;
-    return l;
+    FleetSimulator::Link link;
+    link.blocked = a == 4 && b == 9;
+    link.loss = 0.2;
+    link.jitter = 20ms;
+    return link;
   };
   fleet.kill(2);
   fleet.sim.pause(7);
@@ -206,7 +210,7 @@
   const FleetCheck::Report report = fleet.report();
   EXPECT_LE(report.retries.worst_over, 0) << "seed " << seed;
   EXPECT_LE(report.limits.at("all").worst_over, 0) << "seed " << seed;
-  EXPECT_GT(report.limits.at("all").used, 37 * 70u) << "the limit is used, not only respected";
+  EXPECT_GT(report.limits.at("all").used, 37 * 70u) << "the limit admits too few requests";
   EXPECT_GT(report.retries.used, 200u);
   std::uint64_t overdrawn = 0;
   for (const auto& state : fleet.states) {
@@ -215,6 +219,8 @@
   EXPECT_EQ(overdrawn, 0u);
 }
 
+// The parts of a partition cannot exchange what they have used. If each part used the whole budget,
+// the fleet would use a multiple of it.
 TEST(FleetState, RetryBudgetAndRateLimitHoldInEveryWindowUnderPartitions) {
   for (std::uint64_t seed = 1; seed <= 6; ++seed) {
     SharedFleet fleet(20, seed);
@@ -227,7 +233,8 @@
 FleetCheck::Report check_with(InjectedFault fault) {
   SharedFleet fleet(20, 1, fault);
   if (fault == InjectedFault::dead_members_not_counted) {
-    fleet.config.min_members = 1;  // else that number bounds the share of each member
+    // With 20, a limit would be divided by at least 20 members, and the fault would have no effect.
+    fleet.config.min_members = 1;
   } else {
     fleet.config.limits = {{"all", "", "", 1e6, true}};
   }
@@ -249,19 +256,23 @@
   EXPECT_GT(report.limits.at("all").worst_over, 50);
 }
 
+// Without transfers, the members with failures could use only the tokens that they issue
+// themselves.
 TEST(FleetState, TokensMoveToMembersWithDemand) {
   SharedFleet fleet(50, 3);
   fleet.config.limits = {{"all", "", "", 1e6, true}};
-  // each member alone earns one token in five seconds, which is the lifetime of a token
+  // Each member issues itself one retry token in five seconds, which is the lifetime of a token.
   fleet.requests_per_second = 2;
   fleet.failing_members = 4;
   fleet.start_all();
   fleet.sim.run_for(30s);
-  // 100 requests per second earn 10 tokens; the failing members ask for 8 and earn 0.8 themselves.
+  // Per second, the fleet's 100 requests issue 10 tokens. The failing members need 8 of them and
+  // issue 0.8 themselves.
   EXPECT_GT(fleet.report().retries.used, 30 * 4u);
 }
 
-// Each member earns a fraction of a token within the lifetime of a token, and all need one.
+// Each member issues itself only a fraction of a token within the lifetime of a token, and all
+// members need one. Fractions that stayed where they are would expire unspent.
 TEST(FleetState, MembersWithLittleTrafficCollectWholeTokens) {
   SharedFleet fleet(100, 3);
   fleet.config.limits = {{"all", "", "", 20, false}};
@@ -271,12 +282,13 @@
   fleet.failing_members = 100;
   fleet.start_all();
   fleet.sim.run_for(30s);
-  const FleetCheck::Report r = fleet.report();
-  EXPECT_GT(r.limits.at("all").used, 20 * 25 * 6 / 10u)
-      << "of 20 per second; a member is issued 0.6 in three slots";
-  EXPECT_LE(r.limits.at("all").worst_over, 0);
-  EXPECT_GT(r.retries.used, r.requests / 20 * 4 / 10) << "of 0.05 for each admitted request";
-  EXPECT_LE(r.retries.worst_over, 0);
+  const FleetCheck::Report report = fleet.report();
+  EXPECT_GT(report.limits.at("all").used, 20 * 25 * 6 / 10u)
+      << "limit of 20 per second, of which a member issues itself 0.6 within three slots";
+  EXPECT_LE(report.limits.at("all").worst_over, 0);
+  EXPECT_GT(report.retries.used, report.requests / 20 * 4 / 10)
+      << "0.05 tokens for each admitted request";
+  EXPECT_LE(report.retries.worst_over, 0);
 }
 
 TEST(FleetState, LimitIsOpenOrClosedUntilBootstrappedAsConfigured) {
@@ -288,8 +300,8 @@
     state.on_tick(kEpoch + 3s, {});
     EXPECT_EQ(state.try_admit(kEpoch + 3s, "seal", ""), open);
     EXPECT_TRUE(state.try_admit(kEpoch + 3s, "status", "acme"));
-    // Ten members are known and seven of them dead: this one has a tenth in each slot, and nothing
-    // in the slot in which it started.
+    // Ten members are known and seven of them dead: this member issues itself a tenth of the limit
+    // in each slot, and nothing in the slot in which it started.
     int admitted = 0;
     for (int slot = 4; slot < 14; ++slot) {
       const auto now = kEpoch + std::chrono::seconds(slot);
@@ -303,7 +315,7 @@
   }
 }
 
-// A payload of g1 for g0 in a fleet of these two.
+// Runs a fleet of two until g1 has a payload for g0, and returns it.
 std::string next_payload(SharedFleet& fleet) {
   std::string payload;
   while (payload.empty()) {
@@ -313,6 +325,7 @@
   return payload;
 }
 
+// Returns the payload truncated to a random length, or with a random byte replaced.
 std::string corrupted(std::string payload, std::mt19937_64& random, bool truncate) {
   if (truncate) {
     payload.resize(random() % payload.size());
@@ -330,20 +343,21 @@
   FleetState& state = *fleet.states[0];
   std::mt19937_64 random(4);
   for (int i = 0; i < 5000; ++i) {
-    state.on_payload(fleet.unix(), "g1", corrupted(payload, random, i % 3 == 0));
+    state.on_payload(fleet.unix_now(), "g1", corrupted(payload, random, i % 3 == 0));
   }
-  // The others decode to something else; the checksum of the datagram keeps those out.
+  // The remaining ones decode to other valid contents. In a gateway the checksum of the datagram
+  // rejects those.
   EXPECT_GT(state.counters().bad_payloads + state.counters().other_config, 1000u);
 }
 
-// Tokens of a future slot would outlive their time, an absurd total is not believed, and budget 9
-// does not exist.
+// Tokens of a future slot would stay spendable beyond their lifetime, the second total is above the
+// maximum amount, and budget 9 does not exist.
 TEST(FleetState, ImplausibleTransfersAreRejected) {
   SharedFleet fleet(2, 4);
   fleet.start_all();
   fleet.sim.run_for(5s);
   FleetState& state = *fleet.states[0];
-  const Amount before = state.retry_tokens().totals().received;
+  const Amount received_before = state.retry_tokens().totals().received;
   for (const nlohmann::json& transfers : {nlohmann::json{{0, 1'700'009'999, 1000}},
                                           nlohmann::json{{0, 1'700'000'100, 2'000'000'000'000}},
                                           nlohmann::json{{9, 1'700'000'100, 1000}}}) {
@@ -351,36 +365,36 @@
     nlohmann::json::to_cbor({fingerprint(fleet.config), 5, nlohmann::json::array(), 1, transfers,
                              nlohmann::json::array(), nlohmann::json::array()},
                             payload);
-    EXPECT_FALSE(state.on_payload(fleet.unix(), "g1", payload)) << transfers;
+    EXPECT_FALSE(state.on_payload(fleet.unix_now(), "g1", payload)) << transfers;
   }
-  EXPECT_EQ(state.retry_tokens().totals().received, before);
+  EXPECT_EQ(state.retry_tokens().totals().received, received_before);
 }
 
 // --- Properties
 
 GrowOnlyCounter generate_counter() {
-  GrowOnlyCounter c(2);
+  GrowOnlyCounter counter(2);
   for (const auto& [process, row] :
        *rc::gen::container<std::vector<std::pair<int, std::pair<unsigned, unsigned>>>>(
            rc::gen::pair(rc::gen::inRange(0, 6),
                          rc::gen::pair(rc::gen::inRange(0U, 50U), rc::gen::inRange(0U, 50U))))) {
-    c.merge({"g" + std::to_string(process % 3), static_cast<std::uint64_t>(process / 3)},
-            {row.first, row.second});
+    counter.merge({"g" + std::to_string(process % 3), static_cast<std::uint64_t>(process / 3)},
+                  {row.first, row.second});
   }
-  return c;
+  return counter;
 }
 
 HealthReports generate_reports() {
-  HealthReports m;
+  HealthReports reports;
   for (const auto& [key, incarnation_id, sequence, status] :
        *rc::gen::container<std::vector<std::tuple<int, int, int, int>>>(
            rc::gen::tuple(rc::gen::inRange(0, 8), rc::gen::inRange(0, 3), rc::gen::inRange(0, 4),
                           rc::gen::inRange(0, 3)))) {
-    m[{"g" + std::to_string(key % 4), "h" + std::to_string(key / 4)}] = {
+    reports[{"g" + std::to_string(key % 4), "h" + std::to_string(key / 4)}] = {
         static_cast<std::uint64_t>(incarnation_id), static_cast<std::uint32_t>(sequence), 5,
         static_cast<HealthStatus>(status)};
   }
-  return m;
+  return reports;
 }
 
 TEST(GrowOnlyCounter, MergeIsCommutativeAssociativeAndIdempotent) {
@@ -420,7 +434,8 @@
   std::vector<TokenTransfer> transfers;
 };
 
-// Four incarnations of members with the messages between them.
+// The escrows of four members and the transfer messages between them, with the amounts that were
+// issued in each slot as the reference.
 struct EscrowModel {
   static constexpr unsigned kLifetimeSlots = 3;
 
@@ -470,8 +485,9 @@
   std::map<Slot, Amount> issued;
 };
 
-// Tokens are issued, spent and transferred while time passes, in any order; messages arrive late,
-// twice, in any order, or never.
+// Random steps issue, spend and transfer tokens and advance the slot; messages arrive late, twice,
+// in any order, or never. At no time have the members spent and do they hold more than was issued,
+// or hold more than was issued within the lifetime of a token.
 TEST(TokenEscrow, NoTokenIsSpentTwiceOrAfterItsExpiry) {
   EXPECT_TRUE(rc::check([] {
     enum Action { issue, spend, transfer, deliver, next_slot, nothing, count };
@@ -479,10 +495,10 @@
     const auto steps = *rc::gen::container<std::vector<std::tuple<int, int, int>>>(
         rc::gen::tuple(rc::gen::inRange(0, static_cast<int>(count)), rc::gen::inRange(0, 4),
                        rc::gen::inRange(0, 4)));
-    for (const auto& [action, a, b] : steps) {
+    for (const auto& [action, first, second] : steps) {
       model.advance_all();
-      const auto from = static_cast<std::size_t>(a);
-      const auto to = static_cast<std::size_t>(b);
+      const auto from = static_cast<std::size_t>(first);
+      const auto to = static_cast<std::size_t>(second);
       if (action == issue) {
         model.issue(from);
       } else if (action == spend) {
@@ -504,7 +520,7 @@
 
 // --- Outlier consensus
 
-// One gateway's view of ten hosts and twelve gateways.
+// The consensus at gateway g0 in a fleet of twelve gateways (g0 to g11) with ten hosts (h0 to h9).
 struct Observer {
   Observer() {
     std::vector<std::string> hosts;
@@ -518,11 +534,14 @@
       view.alive_members.insert("g" + std::to_string(i));
     }
   }
-  bool hear(const std::string& sender, const std::string& observer, const std::string& host,
-            HealthStatus status = HealthStatus::unhealthy, std::uint32_t sequence = 1) {
+  // Delivers a report of `observer` that `sender` has sent.
+  bool receive_report(const std::string& sender, const std::string& observer,
+                      const std::string& host, HealthStatus status = HealthStatus::unhealthy,
+                      std::uint32_t sequence = 1) {
     return consensus.on_report(now, sender, {observer, host},
                                {1, sequence, now / 1ms, status, 0, 5});
   }
+  // The ejected hosts after a tick.
   const std::set<std::string>& ejected() {
     consensus.on_tick(now, view);
     return consensus.ejected();
@@ -536,68 +555,73 @@
 
 TEST(OutlierConsensus, QuorumEjectsHostUntilReportsExpire) {
   Observer observer;
-  observer.hear("g1", "g1", "h3");
-  observer.hear("g2", "g2", "h3");
+  observer.receive_report("g1", "g1", "h3");
+  observer.receive_report("g2", "g2", "h3");
   EXPECT_EQ(observer.ejected(), Names{});
-  observer.hear("g3", "g3", "h3");
+  observer.receive_report("g3", "g3", "h3");
   EXPECT_EQ(observer.ejected(), Names{"h3"});
   for (const char* by : {"g4", "g5", "g6"}) {
-    observer.hear(by, by, "h3", HealthStatus::healthy);
+    observer.receive_report(by, by, "h3", HealthStatus::healthy);
   }
-  EXPECT_EQ(observer.ejected(), Names{}) << "as many find it healthy";
-  observer.hear("g7", "g7", "h3");
+  EXPECT_EQ(observer.ejected(), Names{}) << "three observers find it unhealthy, three healthy";
+  observer.receive_report("g7", "g7", "h3");
   EXPECT_EQ(observer.ejected(), Names{"h3"});
   observer.now += 31s;
   EXPECT_EQ(observer.ejected(), Names{});
   EXPECT_TRUE(observer.consensus.reports().empty());
 }
 
-TEST(OutlierConsensus, OneFaultyObserverHasNoEffectHoweverMuchItSends) {
+// One faulty gateway floods g0 with reports in the name of other observers, with reports of its own
+// on all hosts, and with reports of observers that do not exist.
+TEST(OutlierConsensus, FaultyObserverCannotEjectHostsOrBlockCorrectReports) {
   Observer observer;
-  for (std::uint32_t i = 0; i < 30000; ++i) {  // in the name of all others, with ever new sequences
-    observer.hear("g9", "g" + std::to_string(1 + i % 8), "h" + std::to_string(i % 10),
-                  HealthStatus::unhealthy, i);
+  for (std::uint32_t i = 0; i < 30000; ++i) {  // with an ascending sequence for each observer
+    observer.receive_report("g9", "g" + std::to_string(1 + i % 8), "h" + std::to_string(i % 10),
+                            HealthStatus::unhealthy, i);
   }
   EXPECT_EQ(observer.ejected(), Names{});
   for (int i = 0; i < 10; ++i) {
-    observer.hear("g9", "g9", "h" + std::to_string(i));
+    observer.receive_report("g9", "g9", "h" + std::to_string(i));
   }
   EXPECT_EQ(observer.ejected(), Names{});
   for (int i = 0; i < 400; ++i) {
-    observer.hear("g9", "ghost" + std::to_string(i), "h1");
+    observer.receive_report("g9", "ghost" + std::to_string(i), "h1");
   }
   EXPECT_GT(observer.consensus.dropped_reports(), 0u);
-  // Correct reports still arrive, directly and through two relays; one relay and the faulty
-  // observer are not two.
-  observer.hear("g1", "g1", "h2", HealthStatus::unhealthy, 1u << 31);
-  observer.hear("g2", "g2", "h2", HealthStatus::unhealthy, 1u << 31);
-  observer.hear("g4", "g3", "h2", HealthStatus::unhealthy, 1u << 31);
+  // Correct reports are still accepted, directly and through two relays. The faulty gateway does
+  // not count as the second relay.
+  observer.receive_report("g1", "g1", "h2", HealthStatus::unhealthy, 1u << 31);
+  observer.receive_report("g2", "g2", "h2", HealthStatus::unhealthy, 1u << 31);
+  observer.receive_report("g4", "g3", "h2", HealthStatus::unhealthy, 1u << 31);
   EXPECT_EQ(observer.ejected(), Names{});
-  observer.hear("g5", "g3", "h2", HealthStatus::unhealthy, 1u << 31);
+  observer.receive_report("g5", "g3", "h2", HealthStatus::unhealthy, 1u << 31);
   EXPECT_EQ(observer.ejected(), Names{"h2"});
 }
 
-void report_by_each(Observer& observer, const std::vector<const char*>& hosts,
-                    const std::vector<const char*>& reporters) {
+// Delivers a report that each of the hosts is unhealthy from each of the reporters.
+void receive_reports_on_each(Observer& observer, const std::vector<const char*>& hosts,
+                             const std::vector<const char*>& reporters) {
   for (const char* host : hosts) {
     for (const char* reporter : reporters) {
-      observer.hear(reporter, reporter, host);
+      observer.receive_report(reporter, reporter, host);
     }
   }
 }
 
-TEST(OutlierConsensus, EjectionLimitHoldsAndIsSharedByPartsOfPartition) {
+// If each part of a partition ejected the maximum fraction, the parts could together eject more
+// hosts than that.
+TEST(OutlierConsensus, MaxEjectedFractionHoldsAndIsDividedAmongPartsOfPartition) {
   Observer observer;
-  report_by_each(observer, {"h0", "h1"}, {"g1", "g2", "g3"});
+  receive_reports_on_each(observer, {"h0", "h1"}, {"g1", "g2", "g3"});
   EXPECT_EQ(observer.ejected().size(), 2u);
-  report_by_each(observer, {"h2", "h5", "h7"}, {"g4", "g5", "g6"});
+  receive_reports_on_each(observer, {"h2", "h5", "h7"}, {"g4", "g5", "g6"});
   EXPECT_EQ(observer.ejected(), (Names{"h0", "h1"}))
       << "an observer that finds three of ten unhealthy is not trusted";
   Observer other;
-  report_by_each(other, {"h0"}, {"g1", "g2", "g3"});
-  report_by_each(other, {"h1"}, {"g3", "g4", "g5"});
-  report_by_each(other, {"h2"}, {"g5", "g6", "g7"});
-  EXPECT_EQ(other.ejected().size(), 2u) << "a fifth of ten hosts";
+  receive_reports_on_each(other, {"h0"}, {"g1", "g2", "g3"});
+  receive_reports_on_each(other, {"h1"}, {"g3", "g4", "g5"});
+  receive_reports_on_each(other, {"h2"}, {"g5", "g6", "g7"});
+  EXPECT_EQ(other.ejected().size(), 2u) << "the maximum is a fifth of ten hosts";
   other.view.alive_count = 7;
   EXPECT_EQ(other.ejected().size(), 1u);
   other.view.alive_count = 6;
@@ -606,7 +630,9 @@
   EXPECT_EQ(other.ejected(), Names{});
 }
 
-TEST(OutlierConsensus, ObserverCutOffFromHostsPublishesNothing) {
+// Two unhealthy hosts of ten are plausible; an observer that fails at six hosts is more likely to
+// be disconnected itself.
+TEST(OutlierConsensus, ObserverDisconnectedFromHostsPublishesNothing) {
   Observer observer;
   for (int i = 0; i < 2; ++i) {
     for (int n = 0; n < 4; ++n) {
@@ -626,9 +652,9 @@
   EXPECT_TRUE(other.consensus.reports().empty());
 }
 
-// Reports on h3 by the members g<first> to g<last>, with the same results each.
-void report_h3(Observer& observer, int first, int last, HealthStatus status,
-               std::uint32_t successes, std::uint32_t failures) {
+// Delivers a report on h3 from each of the members g<first> to g<last>, with the same results.
+void receive_reports_on_h3(Observer& observer, int first, int last, HealthStatus status,
+                           std::uint32_t successes, std::uint32_t failures) {
   for (int i = first; i <= last; ++i) {
     const std::string name = "g" + std::to_string(i);
     observer.consensus.on_report(observer.now, name, {name, "h3"},
@@ -636,43 +662,45 @@
   }
 }
 
-// None of the gateways sees enough failures to find the host unhealthy on its own.
+// None of the gateways has enough failures to find the host unhealthy on its own.
 TEST(OutlierConsensus, ObserversWithLittleTrafficEjectHostByCombinedFailures) {
   Observer observer;
-  report_h3(observer, 1, 8, HealthStatus::suspect, 0, 1);
-  EXPECT_EQ(observer.ejected(), Names{}) << "eight failures; a quorum needs nine";
-  report_h3(observer, 9, 9, HealthStatus::suspect, 0, 1);
+  receive_reports_on_h3(observer, 1, 8, HealthStatus::suspect, 0, 1);
+  EXPECT_EQ(observer.ejected(), Names{}) << "eight failures in total; nine are required";
+  receive_reports_on_h3(observer, 9, 9, HealthStatus::suspect, 0, 1);
   EXPECT_EQ(observer.ejected(), Names{"h3"});
 }
 
 TEST(OutlierConsensus, SuccessesOfOthersOutweighFewCombinedFailures) {
   Observer observer;
-  report_h3(observer, 1, 5, HealthStatus::suspect, 1, 2);
-  report_h3(observer, 6, 11, HealthStatus::healthy, 3, 0);
+  receive_reports_on_h3(observer, 1, 5, HealthStatus::suspect, 1, 2);
+  receive_reports_on_h3(observer, 6, 11, HealthStatus::healthy, 3, 0);
   EXPECT_EQ(observer.ejected(), Names{});
 }
 
-// The failures of each observer are scaled down to three.
-TEST(OutlierConsensus, FewObserversWithManyFailuresAreNoQuorum) {
+// The failures of each observer are scaled down to three, so that a single observer with many
+// requests cannot eject a host.
+TEST(OutlierConsensus, FewObserversWithManyFailuresFormNoQuorum) {
   Observer observer;
-  report_h3(observer, 1, 2, HealthStatus::unhealthy, 0, 1u << 31);
+  receive_reports_on_h3(observer, 1, 2, HealthStatus::unhealthy, 0, 1u << 31);
   EXPECT_EQ(observer.ejected(), Names{});
-  report_h3(observer, 3, 4, HealthStatus::suspect, 0, 1);
+  receive_reports_on_h3(observer, 3, 4, HealthStatus::suspect, 0, 1);
   EXPECT_EQ(observer.ejected(), Names{});
-  report_h3(observer, 5, 5, HealthStatus::suspect, 0, 1);
+  receive_reports_on_h3(observer, 5, 5, HealthStatus::suspect, 0, 1);
   EXPECT_EQ(observer.ejected(), Names{"h3"});
 }
 
-// An observer with failures at nearly every host, a few each, publishes no suspicion.
-TEST(OutlierConsensus, ObserverWithLittleTrafficCutOffFromHostsPublishesNothing) {
-  for (const bool cut_off : {true, false}) {
+// A disconnected observer with too few attempts to find any host unhealthy finds many suspect
+// instead, and must not publish these suspicions either.
+TEST(OutlierConsensus, DisconnectedObserverWithLittleTrafficPublishesNoSuspicion) {
+  for (const bool is_disconnected : {true, false}) {
     Observer observer;
     for (int i = 0; i < 6; ++i) {
       observer.consensus.on_attempt_result(observer.now, "h" + std::to_string(i),
-                                           !cut_off && i > 0);
+                                           !is_disconnected && i > 0);
     }
     observer.ejected();
-    EXPECT_EQ(observer.consensus.reports().size(), cut_off ? 0u : 1u);
+    EXPECT_EQ(observer.consensus.reports().size(), is_disconnected ? 0u : 1u);
   }
 }
 
@@ -684,9 +712,9 @@
   }
   fleet.start_all();
   fleet.sim.run_for(10s);
-  for (std::size_t i = 0; i < 30; ++i) {  // one failure of two results each
-    fleet.states[i]->on_attempt_result(fleet.unix(), "h4", false);
-    fleet.states[i]->on_attempt_result(fleet.unix(), "h7", true);
+  for (std::size_t i = 0; i < 30; ++i) {  // two results at each member, one of them a failure
+    fleet.states[i]->on_attempt_result(fleet.unix_now(), "h4", false);
+    fleet.states[i]->on_attempt_result(fleet.unix_now(), "h7", true);
   }
   EXPECT_TRUE(fleet.sim.run_until_done(10s, [&] {
     return std::all_of(fleet.states.begin(), fleet.states.end(),
@@ -694,7 +722,9 @@
   }));
 }
 
-// Reports of one failure each pass between random members until nothing is left to send.
+// Twelve observers report one failure each. Members send to random members until no report is left
+// to send. With too few transmissions the reports stop spreading before most members have them,
+// because a member accepts a report only from two relays.
 TEST(OutlierConsensus, ReportsReachWholeFleetThoughTwoRelaysAreRequired) {
   for (const std::size_t count : {50u, 300u, 1000u}) {
     SCOPED_TRACE(count);
@@ -702,7 +732,7 @@
     const auto name = [](std::size_t i) {
       return "g" + std::to_string(i);
     };
-    const unsigned times = OutlierConsensus::transmissions_for(count);
+    const unsigned transmissions = OutlierConsensus::transmissions_for(count);
     const fleet_state::Time now = kEpoch;
     std::vector<OutlierConsensus> all;
     FleetView view{count, count, true, {}};
@@ -717,60 +747,64 @@
     for (OutlierConsensus& consensus : all) {
       consensus.on_tick(now, view);
     }
-    for (bool more = true; more;) {
-      more = false;
+    for (bool has_sent = true; has_sent;) {
+      has_sent = false;
       for (std::size_t i = 0; i < count; ++i) {
         const std::size_t to = (i + 1 + random() % (count - 1)) % count;
-        for (const auto& [key, report] : all[i].reports_to_send(6, times)) {
+        for (const auto& [key, report] : all[i].reports_to_send(6, transmissions)) {
           all[to].on_report(now, name(i), key, report);
           all[i].on_report_sent(key);
-          more = true;
+          has_sent = true;
         }
       }
     }
-    std::size_t out = 0;
+    std::size_t members_with_ejection = 0;
     for (OutlierConsensus& consensus : all) {
-      consensus.on_tick(now, view), out += consensus.ejected() == Names{"h3"};
+      consensus.on_tick(now, view), members_with_ejection += consensus.ejected() == Names{"h3"};
     }
-    EXPECT_GE(out, count * 99 / 100);
+    EXPECT_GE(members_with_ejection, count * 99 / 100);
   }
 }
 
-TEST(OutlierConsensus, UnsharedSuspicionIsSentByItsObserverOnly) {
+// If every single failure were relayed by all members, failures of healthy hosts would cause
+// broadcasts all the time.
+TEST(OutlierConsensus, SuspicionOfSingleObserverIsSentByThatObserverOnly) {
   Observer observer;
-  const auto hear_suspicion = [&](const std::string& by) {
+  const auto receive_suspicion = [&](const std::string& by) {
     observer.consensus.on_report(observer.now, by, {by, "h3"},
                                  {1, 1, observer.now / 1ms, HealthStatus::suspect, 0, 1});
   };
-  hear_suspicion("g1");
+  receive_suspicion("g1");
   EXPECT_TRUE(observer.consensus.reports_to_send(10, 1).empty());
-  hear_suspicion("g2");
-  EXPECT_EQ(observer.consensus.reports_to_send(10, 1).size(), 2u) << "both are disseminated then";
+  receive_suspicion("g2");
+  EXPECT_EQ(observer.consensus.reports_to_send(10, 1).size(), 2u)
+      << "a second observer shares the suspicion, so both are disseminated";
   Observer own;
   own.consensus.on_attempt_result(own.now, "h3", false);
   own.ejected();
   EXPECT_EQ(own.consensus.reports_to_send(10, 1).size(), 1u);
 }
 
-// A report that did not fit into a payload does not count as sent.
+// A report that does not fit into a payload must not count as sent, or it would never reach another
+// member.
 TEST(OutlierConsensus, ReportThatDidNotFitIsSentInNextPayload) {
   SharedFleet fleet(2, 5);
   fleet.config.limits.clear();
   fleet.hosts = {std::string(100, 'h'), "h1", "h2", "h3", "h4"};
-  FleetState state(fleet.config, "g0", 1, fleet.unix());
+  FleetState state(fleet.config, "g0", 1, fleet.unix_now());
   state.on_hosts(fleet.hosts);
   for (int n = 0; n < 4; ++n) {
-    state.on_attempt_result(fleet.unix(), fleet.hosts[0], false);
+    state.on_attempt_result(fleet.unix_now(), fleet.hosts[0], false);
   }
-  state.on_tick(fleet.unix(), {2, 2, true, {"g0", "g1"}});
+  state.on_tick(fleet.unix_now(), {2, 2, true, {"g0", "g1"}});
   for (int n = 0; n < 10; ++n) {
     EXPECT_EQ(state.payload_for("g1", 100).find(fleet.hosts[0]), std::string::npos)
-        << "it does not fit";
+        << "the report on a host with a name of 100 bytes does not fit into 100 bytes";
   }
   EXPECT_NE(state.payload_for("g1", 700).find(fleet.hosts[0]), std::string::npos);
 }
 
-TEST(OutlierConsensus, FleetOfFiftyEjectsUnhealthyHostWithinSeconds) {
+TEST(OutlierConsensus, FleetOfFiftyEjectsUnhealthyHostWithinSecondsUntilReportsExpire) {
   SharedFleet fleet(50, 9);
   fleet.config.limits.clear();
   fleet.config.limits = {{"all", "", "", 1e6, true}};
@@ -781,7 +815,7 @@
   fleet.sim.run_for(10s);
   for (std::size_t i = 0; i < 6; ++i) {
     for (int n = 0; n < 4; ++n) {
-      fleet.states[i * 8]->on_attempt_result(fleet.unix(), "h4", false);
+      fleet.states[i * 8]->on_attempt_result(fleet.unix_now(), "h4", false);
     }
   }
   EXPECT_TRUE(fleet.sim.run_until_done(6s, [&] {
