--- a/src/fleet_agent/config_section.cpp
+++ b/src/fleet_agent/config_section.cpp
@@ -13,25 +13,25 @@
 ConfigSection::ConfigSection(const json& object, std::string file, std::string path)
     : object_(object), file_(std::move(file)), path_(std::move(path)) {
   if (!object.is_object()) {
-    fail("", "is " + std::string(object.type_name()) + "; it should be an object {...}");
+    fail("", "is of type " + std::string(object.type_name()) + "; expected an object {...}");
   }
 }
 
-void ConfigSection::read_text(const char* field, std::string& into, Presence presence) {
+void ConfigSection::read_string(const char* field, std::string& result, Presence presence) {
   const json* value = find(field, presence);
   if (!value) {
     return;
   }
   if (!value->is_string()) {
-    fail(field, "should be a text");
+    fail(field, "must be a string");
   }
-  into = value->get<std::string>();
-  if (presence == Presence::required && into.empty()) {
-    fail(field, "is empty");
+  result = value->get<std::string>();
+  if (presence == Presence::required && result.empty()) {
+    fail(field, "is empty; expected a non-empty string");
   }
 }
 
-void ConfigSection::read_number(const char* field, double min, double max, double& into,
+void ConfigSection::read_number(const char* field, double min, double max, double& result,
                                 Presence presence) {
   const json* value = find(field, presence);
   if (!value) {
@@ -40,39 +40,40 @@
   const double number = value->is_number() ? value->get<double>() : std::nan("");
   if (!(number >= min && number <= max)) {
     std::array<char, 96> problem{};
-    std::snprintf(problem.data(), problem.size(), "should be a number from %g to %g", min, max);
+    std::snprintf(problem.data(), problem.size(), "must be a number from %g to %g", min, max);
     fail(field, problem.data());
   }
-  into = number;
+  result = number;
 }
 
 void ConfigSection::read_integer_as_double(const char* field, double min, double max,
-                                           double& into) {
-  read_number(field, min, max, into);
-  if (into != std::floor(into)) {
-    fail(field, "should be a whole number");
+                                           double& result) {
+  read_number(field, min, max, result);
+  if (result != std::floor(result)) {
+    fail(field, "must be a whole number");
   }
 }
 
 void ConfigSection::read_duration(const char* field, std::chrono::nanoseconds unit, double min,
-                                  double max, std::chrono::nanoseconds& into) {
+                                  double max, std::chrono::nanoseconds& result) {
   const auto unit_ns = static_cast<double>(unit.count());
-  double value = static_cast<double>(into.count()) / unit_ns;
+  double value = static_cast<double>(result.count()) / unit_ns;
   read_number(field, min, max, value);
-  into = std::chrono::nanoseconds(std::llround(value * unit_ns));
+  result = std::chrono::nanoseconds(std::llround(value * unit_ns));
 }
 
-void ConfigSection::read_address(const char* field, membership::Address& into, Presence presence) {
+void ConfigSection::read_address(const char* field, membership::Address& result,
+                                 Presence presence) {
   std::string text;
-  read_text(field, text, presence);
+  read_string(field, text, presence);
   if (text.empty()) {
     return;
   }
   const auto address = membership::parse_address(text);
   if (!address) {
-    fail(field, "is '" + text + "'; it should be an IPv4 address and port, as 10.0.0.7:7946");
+    fail(field, "is '" + text + "'; expected an IPv4 address and port such as 10.0.0.7:7946");
   }
-  into = *address;
+  result = *address;
 }
 
 const json* ConfigSection::find(const char* field) {
@@ -86,7 +87,7 @@
     return &*it;
   }
   if (presence == Presence::required) {
-    fail(field, "is missing");
+    fail(field, "is required but missing");
   }
   return nullptr;
 }
@@ -101,11 +102,11 @@
     if (known_fields_.contains(field)) {
       continue;
     }
-    std::string all;
+    std::string accepted;
     for (const std::string& known : known_fields_) {
-      all += (all.empty() ? "" : ", ") + known;
+      accepted += (accepted.empty() ? "" : ", ") + known;
     }
-    fail(field, "is not known; here stand " + all);
+    fail(field, "is not a known field; accepted fields: " + accepted);
   }
 }
 
--- a/src/fleet_agent/fleet_agent.cpp
+++ b/src/fleet_agent/fleet_agent.cpp
@@ -20,13 +20,13 @@
 namespace {
 
 constexpr auto kTickInterval = std::chrono::milliseconds(100);
-constexpr unsigned kTicksPerGaugeLine = 10;  // the gauges are logged once a second
-// An urgent update is sent to this many members at once, at most once in the interval. It spreads
-// further by gossip.
+constexpr unsigned kTicksPerGaugeLine = 10;  // one line of gauges per second
+// Members to which an urgent update is sent without waiting for a protocol message to carry it, and
+// the minimum time between two such updates. Gossip delivers it to the other members.
 constexpr std::size_t kUrgentUpdateRecipients = 1;
 constexpr auto kUrgentUpdateInterval = std::chrono::milliseconds(400);
 
-// A random id that is not 0, which means "none" in payloads.
+// Returns a random id other than 0; in payloads 0 means that there is no id.
 std::uint64_t random_incarnation_id() {
   std::uint64_t id = 0;
   if (::getrandom(&id, sizeof id, 0) != sizeof id) {
@@ -45,8 +45,11 @@
  public:
   Impl(boost::asio::io_context& io, Config config, GatewayControls controls);
 
-  // Unix time is read once: a clock that jumps must not revive expired tokens.
-  Time now() const { return unix_start_ + (std::chrono::steady_clock::now() - steady_start_); }
+  // Unix time, advanced by the monotonic clock: the system clock is read once, because a step back
+  // of it would make expired tokens valid again.
+  Time now() const {
+    return unix_time_at_start_ + (std::chrono::steady_clock::now() - steady_time_at_start_);
+  }
   FleetState& fleet_state() { return fleet_state_; }
   std::string status_json() const;
   void leave();
@@ -70,27 +73,27 @@
 
   Config config_;
   GatewayControls controls_;
-  std::chrono::steady_clock::time_point steady_start_ = std::chrono::steady_clock::now();
-  Time unix_start_ = std::chrono::system_clock::now().time_since_epoch();
-  std::uint64_t incarnation_id_ = random_incarnation_id();
+  std::chrono::steady_clock::time_point steady_time_at_start_ = std::chrono::steady_clock::now();
+  Time unix_time_at_start_ = std::chrono::system_clock::now().time_since_epoch();
+  std::uint64_t incarnation_id_ = random_incarnation_id();  // of this process
   EventLog log_;
   FleetState fleet_state_;
   membership::Transport transport_;
   boost::asio::steady_timer timer_;
   fleet_state::FleetView view_;
   bool view_is_stale_ = true;
-  std::set<std::string> ejected_hosts_;  // as the gateway knows them
+  std::set<std::string> ejected_hosts_;  // uids, as last passed to the gateway
   Time urgent_update_sent_at_{};
   unsigned ticks_ = 0;
-  FleetState::Counters logged_counters_;  // as of the last line of usage
+  FleetState::Counters logged_counters_;  // as of the latest "used" line
 };
 
 FleetAgent::Impl::Impl(boost::asio::io_context& io, Config config, GatewayControls controls)
     : config_(std::move(config)),
       controls_(std::move(controls)),
-      log_(config_.log),
+      log_(config_.event_log_path),
       fleet_state_(config_.fleet_state, config_.membership.name, incarnation_id_, now()),
-      transport_(io, config_.listen, membership::fleet_id(config_.fleet), config_.membership,
+      transport_(io, config_.listen, membership::fleet_id(config_.fleet_name), config_.membership,
                  static_cast<std::uint64_t>(now() / std::chrono::milliseconds(1)), incarnation_id_,
                  transport_callbacks()),
       timer_(io) {
@@ -133,10 +136,11 @@
 void FleetAgent::Impl::update_view() {
   view_is_stale_ = false;
   const membership::Membership& membership = transport_.membership();
-  const bool has_met_fleet = membership.known_count() > 1 || config_.fleet_state.min_members <= 1;
+  const bool has_joined_fleet =
+      membership.known_count() > 1 || config_.fleet_state.min_members <= 1;
   view_.alive_count = membership.alive_count();
   view_.known_count = membership.known_count();
-  view_.is_bootstrapped = !membership.superseded() && has_met_fleet;
+  view_.is_bootstrapped = !membership.is_superseded() && has_joined_fleet;
   view_.alive_members = {config_.membership.name};
   for (const auto& [name, member] : membership.peers()) {
     if (is_alive_or_suspect(member.state)) {
@@ -184,14 +188,15 @@
   if (fleet_state_.ejected_hosts() == ejected_hosts_) {
     return;
   }
-  const std::set<std::string> before = std::exchange(ejected_hosts_, fleet_state_.ejected_hosts());
-  for (const std::string& host : before) {
+  const std::set<std::string> previously_ejected =
+      std::exchange(ejected_hosts_, fleet_state_.ejected_hosts());
+  for (const std::string& host : previously_ejected) {
     if (!ejected_hosts_.contains(host)) {
       set_ejected(host, false);
     }
   }
   for (const std::string& host : ejected_hosts_) {
-    if (!before.contains(host)) {
+    if (!previously_ejected.contains(host)) {
       set_ejected(host, true);
     }
   }
@@ -199,8 +204,9 @@
 
 void FleetAgent::Impl::set_ejected(const std::string& host, bool ejected) {
   controls_.set_host_ejected(host, ejected);
-  controls_.log("fleet: host " + host +
-                (ejected ? " is ejected, a quorum finds it unhealthy" : " is no longer ejected"));
+  controls_.log(
+      "fleet: host " + host +
+      (ejected ? " ejected: a quorum of members reports it unhealthy" : " no longer ejected"));
   ordered_json observers = ordered_json::array();
   for (const auto& [key, report] : fleet_state_.outlier_consensus().reports()) {
     if (key.host == host && report.status == fleet_state::HealthStatus::unhealthy) {
@@ -223,7 +229,7 @@
   log_event({{"ev", "start"},
              {"name", config_.membership.name},
              {"life", incarnation_id_},
-             {"fleet", config_.fleet},
+             {"fleet", config_.fleet_name},
              {"members", shared.min_members},
              {"slot_ms", shared.slot_duration / std::chrono::milliseconds(1)},
              {"retry_share", shared.retry_ratio.value_or(kNoRetryBudget)},
@@ -231,29 +237,30 @@
              {"limit_slots", shared.limit_token_lifetime_slots}});
 }
 
-// Logs what was admitted and retried since the last line, so that a checker can add up the fleet.
+// Logs the requests, retries and rejections since the latest such line, if there were any, and once
+// a second also the gauges. The laboratory's fleet check adds up the lines of all members.
 void FleetAgent::Impl::log_usage() {
-  const FleetState::Counters& now = fleet_state_.counters();
-  const FleetState::Counters& last = logged_counters_;
+  const FleetState::Counters& current = fleet_state_.counters();
+  const FleetState::Counters& logged = logged_counters_;
   ++ticks_;
   const bool with_gauges = ticks_ % kTicksPerGaugeLine == 0;
-  const bool changed =
-      now.requests != last.requests || now.retries != last.retries || now.rejected != last.rejected;
+  const bool changed = current.requests != logged.requests || current.retries != logged.retries ||
+                       current.rejected != logged.rejected;
   if (!log_.enabled() || (!with_gauges && !changed)) {
     return;
   }
   ordered_json line{{"ev", "used"},
-                    {"requests", now.requests - last.requests},
-                    {"retries", now.retries - last.retries},
-                    {"refused", now.rejected - last.rejected}};
-  if (!now.admitted.empty()) {
+                    {"requests", current.requests - logged.requests},
+                    {"retries", current.retries - logged.retries},
+                    {"refused", current.rejected - logged.rejected}};
+  if (!current.admitted.empty()) {
     ordered_json admitted = ordered_json::object();
-    for (std::size_t i = 0; i < now.admitted.size(); ++i) {
-      admitted[config_.fleet_state.limits[i].name] = now.admitted[i] - last.admitted[i];
+    for (std::size_t i = 0; i < current.admitted.size(); ++i) {
+      admitted[config_.fleet_state.limits[i].name] = current.admitted[i] - logged.admitted[i];
     }
     line["admitted"] = std::move(admitted);
   }
-  logged_counters_ = now;
+  logged_counters_ = current;
   if (with_gauges) {
     add_gauges(line);
   }
@@ -273,7 +280,7 @@
                {"received", datagrams.received},
                {"dropped", datagrams.malformed + datagrams.other_fleet + datagrams.other_format},
                {"fleet_requests", fleet_state_.fleet_counter().total(FleetState::kRequests)},
-               {"health", transport_.membership().local_health()}});
+               {"health", transport_.membership().local_health_score()}});
 }
 
 // --- GET /fleet
@@ -318,7 +325,7 @@
           {"malformed", datagrams.malformed},
           {"other_fleet", datagrams.other_fleet},
           {"other_format", datagrams.other_format},
-          {"not_its_address", datagrams.not_its_address},
+          {"not_its_address", datagrams.sender_mismatches},
           {"bad_payloads", fleet_state_.counters().bad_payloads},
           {"other_plan", fleet_state_.counters().other_config}};
 }
@@ -327,13 +334,13 @@
   const membership::Membership& membership = transport_.membership();
   const FleetState::Counters& counters = fleet_state_.counters();
   const fleet_state::GrowOnlyCounter& fleet_counter = fleet_state_.fleet_counter();
-  const ordered_json status{{"fleet", config_.fleet},
+  const ordered_json status{{"fleet", config_.fleet_name},
                             {"name", config_.membership.name},
                             {"settled", fleet_state_.is_bootstrapped()},
-                            {"superseded", membership.superseded()},
+                            {"superseded", membership.is_superseded()},
                             {"alive", membership.alive_count()},
                             {"known", membership.known_count()},
-                            {"health", membership.local_health()},
+                            {"health", membership.local_health_score()},
                             {"requests",
                              {{"taken", counters.requests},
                               {"refused", counters.rejected},
--- a/src/fleet_agent/fleet_agent.hpp
+++ b/src/fleet_agent/fleet_agent.hpp
@@ -1,6 +1,6 @@
-// A gateway's part in its fleet: runs the membership protocol and the shared state on the event
-// loop, connects them to the gateway and logs what happens. It makes no decisions of its own; those
-// are in src/membership, src/fleet_state and the balancer. Used from the event loop's thread only.
+// Runs the membership protocol and the shared state of the fleet on the gateway's event loop,
+// connects them to the gateway and logs their events. It makes no decisions: those are made in
+// src/membership, src/fleet_state and the balancer. Must be used from the event loop's thread only.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,31 +14,39 @@
 
 namespace gateway::fleet_agent {
 
-// What the fleet agent does to the gateway. All of them must be set.
+// Callbacks by which the fleet agent acts on the gateway. All of them must be set.
 struct GatewayControls {
+  // Called when the fleet ejects the host with this uid or returns it.
   std::function<void(const std::string& uid, bool ejected)> set_host_ejected;
-  std::function<void()> on_allowed_retries_changed;  // allowed_retries() may return another value
-  std::function<void(std::string)> log;              // a line for the operators
+  // Called when the value of allowed_retries() may have changed.
+  std::function<void()> on_allowed_retries_changed;
+  // Writes a line to the operators' log.
+  std::function<void(std::string)> log;
 };
 
+// A gateway's membership in its fleet. `io` must outlive it.
 class FleetAgent {
  public:
-  // Listens at once and joins the fleet. Throws boost::system::system_error if it cannot listen and
-  // OperatorFileError if the log cannot be written.
+  // Binds the UDP socket and joins the fleet. Throws boost::system::system_error if the address
+  // cannot be bound and OperatorFileError if the event log cannot be opened.
   FleetAgent(boost::asio::io_context& io, Config config, GatewayControls controls);
   ~FleetAgent();
   FleetAgent(const FleetAgent&) = delete;
   FleetAgent& operator=(const FleetAgent&) = delete;
 
-  // Decides whether a request is admitted, and counts it if so.
+  // Returns whether the fleet's rate limits admit a request, and counts it as admitted or rejected.
   bool try_admit(std::string_view request_class, std::string_view tenant);
-  void on_retry_sent();
-  std::uint64_t allowed_retries() const;  // UINT64_MAX: unlimited
+  void on_retry_sent();  // counts a retry and spends a token of the retry budget
+  // How many retries the retry budget allows now; UINT64_MAX: unlimited.
+  std::uint64_t allowed_retries() const;
+  // Records the result of an attempt on the host with this uid for the health reports.
   void on_attempt_result(const std::string& uid, bool success);
-  void on_hosts(std::vector<std::string> uids);  // all that discovery lists
+  void on_hosts(std::vector<std::string> uids);  // uids of all hosts that discovery lists
 
-  std::string status_json() const;  // the response of GET /fleet, on one line
-  void leave();  // announces the departure to the others; nothing is shared from then on
+  std::string status_json() const;  // body of the response to GET /fleet, on one line
+  // Announces the departure to other members; from then on this gateway neither sends nor receives
+  // shared state.
+  void leave();
 
  private:
   class Impl;
--- a/src/fleet_agent/operator_file.cpp
+++ b/src/fleet_agent/operator_file.cpp
@@ -14,25 +14,25 @@
 using nlohmann::json;
 using Presence = ConfigSection::Presence;
 
-constexpr std::size_t kMaxLimits = 32;
+constexpr std::size_t kMaxLimits = 32;  // rate limits in one operator file
 
 std::string describe(const std::string& file, const std::string& field,
                      const std::string& problem) {
   return file + ": " + (field.empty() ? "" : field + " ") + problem;
 }
 
-// Removes the library's prefix "[json.exception.parse_error.101] ".
+// Removes the JSON library's prefix "[json.exception.parse_error.101] ".
 std::string without_exception_id(const std::string& message) {
   const auto end_of_id = message.find("] ");
   return end_of_id == std::string::npos ? message : message.substr(end_of_id + 2);
 }
 
 void read_identity(ConfigSection& section, Config& config) {
-  section.read_text("fleet", config.fleet, Presence::required);
-  section.read_text("name", config.membership.name);
+  section.read_string("fleet", config.fleet_name, Presence::required);
+  section.read_string("name", config.membership.name);
   if (config.membership.name.empty() || config.membership.name.size() > membership::kMaxNameBytes) {
-    section.fail("name",
-                 "should have 1 to " + std::to_string(membership::kMaxNameBytes) + " bytes");
+    section.fail("name", "is empty or too long; expected 1 to " +
+                             std::to_string(membership::kMaxNameBytes) + " bytes");
   }
 }
 
@@ -43,7 +43,9 @@
   config.membership.address = listen;
   section.read_address("address", config.membership.address);
   if (config.membership.address.ip == 0) {
-    section.fail("address", "is missing; others can't reach 0.0.0.0");
+    section.fail(
+        "address",
+        "is missing or 0.0.0.0; expected an address at which other members reach this gateway");
   }
 }
 
@@ -53,7 +55,7 @@
     return;
   }
   if (!seeds->is_array()) {
-    section.fail("seeds", "should be a list of addresses");
+    section.fail("seeds", "must be a list of addresses [...]");
   }
   for (const json& seed : *seeds) {
     std::optional<membership::Address> address;
@@ -61,7 +63,8 @@
       address = membership::parse_address(seed.get<std::string>());
     }
     if (!address) {
-      section.fail("seeds", "holds " + seed.dump() + "; each should be an IPv4 address and port");
+      section.fail("seeds", "contains " + seed.dump() +
+                                "; expected IPv4 addresses with a port such as \"10.0.0.7:7946\"");
     }
     if (*address != config.membership.address) {
       config.seeds.push_back(*address);
@@ -76,9 +79,9 @@
     return;
   }
   ConfigSection section(*object, file, "retries");
-  double ratio = 0;
-  section.read_number("share", 0, 10, ratio, Presence::required);
-  config.retry_ratio = ratio;
+  double retry_ratio = 0;
+  section.read_number("share", 0, 10, retry_ratio, Presence::required);
+  config.retry_ratio = retry_ratio;
   section.read_integer("lapse_slots", 1U, 600U, config.retry_token_lifetime_slots);
   section.reject_unknown_fields();
 }
@@ -86,13 +89,13 @@
 fleet_state::RateLimitConfig read_limit(ConfigSection section) {
   fleet_state::RateLimitConfig limit;
   std::string until_bootstrapped = "closed";
-  section.read_text("name", limit.name, Presence::required);
-  section.read_text("class", limit.request_class);
-  section.read_text("tenant", limit.tenant);
+  section.read_string("name", limit.name, Presence::required);
+  section.read_string("class", limit.request_class);
+  section.read_string("tenant", limit.tenant);
   section.read_number("per_s", 0.001, 1e9, limit.requests_per_second, Presence::required);
-  section.read_text("unknown", until_bootstrapped);
+  section.read_string("unknown", until_bootstrapped);
   if (until_bootstrapped != "open" && until_bootstrapped != "closed") {
-    section.fail("unknown", "is '" + until_bootstrapped + R"('; it should be "open" or "closed")");
+    section.fail("unknown", "is '" + until_bootstrapped + R"('; expected "open" or "closed")");
   }
   limit.open_until_bootstrapped = until_bootstrapped == "open";
   section.reject_unknown_fields();
@@ -106,7 +109,8 @@
     return;
   }
   if (!list->is_array() || list->size() > kMaxLimits) {
-    parent.fail("limits", "should be a list of at most " + std::to_string(kMaxLimits));
+    parent.fail("limits",
+                "must be a list of limits, of length at most " + std::to_string(kMaxLimits));
   }
   for (std::size_t i = 0; i < list->size(); ++i) {
     config.limits.push_back(
@@ -146,10 +150,10 @@
   section.read_duration("suspicion_most_s", 1s, 0.1, 3600, settings.max_suspicion_timeout);
   section.read_duration("forget_s", 1s, 1, 86400, settings.dead_member_retention);
   if (settings.probe_timeout >= settings.probe_interval) {
-    section.fail("timeout_ms", "should be under probe_ms");
+    section.fail("timeout_ms", "must be below probe_ms");
   }
   if (settings.min_suspicion_timeout > settings.max_suspicion_timeout) {
-    section.fail("suspicion_least_s", "should be at most suspicion_most_s");
+    section.fail("suspicion_least_s", "must be at most suspicion_most_s");
   }
   section.reject_unknown_fields();
 }
@@ -162,7 +166,8 @@
       field_(std::move(field)),
       problem_(std::move(problem)) {}
 
-// The fields are read in the order of the operators' page, so the first mistake there is reported.
+// Reads the fields in the order in which docs/fleet.md describes them and reports the first error
+// in that order.
 Config parse_operator_file(const json& json, const std::string& file, const std::string& name) {
   ConfigSection section(json, file, "");
   Config config;
@@ -173,7 +178,7 @@
   fleet_state::FleetStateConfig& fleet_state = config.fleet_state;
   section.read_integer<std::size_t>("members", 1, 100000, fleet_state.min_members);
   section.read_duration("slot_ms", 1ms, 100, 60000, fleet_state.slot_duration);
-  section.read_text("log", config.log);
+  section.read_string("log", config.event_log_path);
   read_retries(section, file, fleet_state);
   read_limits(section, file, fleet_state);
   section.read_integer("limit_lapse_slots", 1U, 600U, fleet_state.limit_token_lifetime_slots);
@@ -186,13 +191,13 @@
 Config load_operator_file(const std::filesystem::path& path, const std::string& name) {
   std::ifstream file(path);
   if (!file || std::filesystem::is_directory(path)) {
-    throw OperatorFileError(path.string(), "", "can't be read as a file");
+    throw OperatorFileError(path.string(), "", "cannot be read as a file");
   }
   try {
     return parse_operator_file(json::parse(file), path.string(), name);
   } catch (const json::parse_error& error) {
     throw OperatorFileError(path.string(), "",
-                            "is not JSON: " + without_exception_id(error.what()));
+                            "is not valid JSON: " + without_exception_id(error.what()));
   }
 }
 
--- a/src/fleet_agent/operator_file.hpp
+++ b/src/fleet_agent/operator_file.hpp
@@ -1,5 +1,6 @@
-// The operator file that configures what a gateway shares with its fleet. docs/fleet.md describes
-// its fields. On the platform no file is named, and nothing of this runs.
+// The operator file, a JSON file that configures what a gateway shares with its fleet.
+// docs/fleet.md describes its fields. Without an operator file, as on the platform, a gateway
+// belongs to no fleet and nothing of this module runs.
 #pragma once
 
 #include <boost/asio/ip/udp.hpp>
@@ -14,8 +15,8 @@
 
 namespace gateway::fleet_agent {
 
-// A mistake in the operator file. what() is one line: "file: field problem", where the problem says
-// what is expected.
+// An error in the operator file. what() is one line, "file: field problem", where the problem
+// states what is expected.
 class OperatorFileError : public std::runtime_error {
  public:
   // `field` is empty if the problem concerns the whole file.
@@ -31,18 +32,20 @@
   std::string problem_;
 };
 
+// The content of the operator file.
 struct Config {
-  std::string fleet;  // its name; datagrams of other fleets are dropped
-  boost::asio::ip::udp::endpoint listen;
-  std::vector<membership::Address> seeds;
+  std::string fleet_name;                  // datagrams of other fleets are dropped
+  boost::asio::ip::udp::endpoint listen;   // to which the UDP socket is bound
+  std::vector<membership::Address> seeds;  // of members to join through, not of this gateway
   membership::Settings membership;
   fleet_state::FleetStateConfig fleet_state;
-  std::string log;  // path of the event log; empty: none
+  std::string event_log_path;  // empty: no event log
 };
 
-// `name`: of this gateway, used where the file gives none. Both throw OperatorFileError.
+// Reads and validates the file at `path`. `name`: the gateway's name, used if the file contains
+// none. Throws OperatorFileError for the first error found.
 Config load_operator_file(const std::filesystem::path& path, const std::string& name);
-// `file`: the name for error messages.
+// The same for a file that was parsed already. `file`: its name in error messages.
 Config parse_operator_file(const nlohmann::json& json, const std::string& file,
                            const std::string& name);
 
--- a/src/membership/broadcast_queue.cpp
+++ b/src/membership/broadcast_queue.cpp
@@ -5,12 +5,12 @@
 namespace gateway::membership {
 namespace {
 
-// Bytes of an update on the wire beside the two names, rounded up.
+// Encoded size of an update's address, state and version, in addition to its two names.
 constexpr std::size_t kUpdateOverheadBytes = 24;
 
 }  // namespace
 
-std::size_t encoded_size(const MemberUpdate& update) {
+std::size_t estimated_encoded_size(const MemberUpdate& update) {
   return update.name.size() + update.reported_by.size() + kUpdateOverheadBytes;
 }
 
@@ -20,10 +20,10 @@
 
 void BroadcastQueue::take(std::vector<MemberUpdate>& updates, std::size_t used_bytes,
                           std::size_t max_bytes, unsigned max_transmissions,
-                          const std::string* except) {
+                          const std::string* excluded_member) {
   std::vector<PendingBroadcast*> candidates;
   for (auto& [name, broadcast] : pending_) {
-    if (!except || name != *except) {
+    if (!excluded_member || name != *excluded_member) {
       candidates.push_back(&broadcast);
     }
   }
@@ -32,7 +32,7 @@
               return a->transmissions < b->transmissions;
             });
   for (PendingBroadcast* broadcast : candidates) {
-    const std::size_t size = encoded_size(broadcast->update);
+    const std::size_t size = estimated_encoded_size(broadcast->update);
     if (used_bytes + size > max_bytes) {
       break;
     }
--- a/src/membership/broadcast_queue.hpp
+++ b/src/membership/broadcast_queue.hpp
@@ -1,5 +1,5 @@
-// Member updates that still have to be gossiped, each a limited number of times (the transmit
-// limited queue of SWIM and memberlist).
+// The queue of member updates that are piggybacked on outgoing messages. Each update is transmitted
+// a limited number of times, the least transmitted ones first (memberlist's TransmitLimitedQueue).
 #pragma once
 
 #include <cstddef>
@@ -11,27 +11,30 @@
 
 namespace gateway::membership {
 
-// Approximate size of an update in a datagram, in bytes.
-std::size_t encoded_size(const MemberUpdate& update);
+// Estimates the size of an update in a datagram, in bytes.
+std::size_t estimated_encoded_size(const MemberUpdate& update);
 
+// Holds at most one update per member. Not thread-safe.
 class BroadcastQueue {
  public:
-  // Queues an update; it replaces an older one about the same member.
+  // Queues an update with no transmissions so far. It replaces a queued one about the same member.
   void add(const MemberUpdate& update);
+  // Drops the queued update about `member`, if any.
   void remove(const std::string& member) { pending_.erase(member); }
 
-  // Appends the least transmitted updates to `updates` until `max_bytes` are used, of which
-  // `used_bytes` already are. Skips updates about `except` (null: none). Updates that reach
-  // `max_transmissions` leave the queue.
+  // Appends queued updates to `updates`, the least transmitted first, until the next one would
+  // exceed `max_bytes` (estimated), of which `used_bytes` are already in use. Skips the update
+  // about `excluded_member` (null: skips none). Removes updates transmitted `max_transmissions`
+  // times.
   void take(std::vector<MemberUpdate>& updates, std::size_t used_bytes, std::size_t max_bytes,
-            unsigned max_transmissions, const std::string* except);
+            unsigned max_transmissions, const std::string* excluded_member);
 
  private:
   struct PendingBroadcast {
     MemberUpdate update;
     unsigned transmissions = 0;
   };
-  std::map<std::string, PendingBroadcast> pending_;  // by member
+  std::map<std::string, PendingBroadcast> pending_;  // by member name
 };
 
 }  // namespace gateway::membership
--- a/src/membership/codec.cpp
+++ b/src/membership/codec.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t kMaxUpdates = 128;  // in one message
 constexpr std::size_t kChecksumBytes = sizeof(XXH64_canonical_t);
 
-// Positions of the fields in a message's array.
+// Positions of the fields in the array of a message.
 namespace message_field {
 enum Position : std::size_t {
   format,
@@ -43,8 +43,8 @@
 
 enum class EmptyName { allowed, rejected };
 
-// Reads the fields of an array one by one and remembers whether all of them were valid. A field
-// that is not valid reads as the empty value.
+// Reads the fields of an array and records whether all of them were valid. An invalid field reads
+// as zero or as an empty string.
 class FieldReader {
  public:
   explicit FieldReader(const json& array) : array_(array) {}
@@ -96,7 +96,8 @@
   return {reinterpret_cast<const char*>(sum.digest), sizeof sum.digest};
 }
 
-// The library throws for an array that claims an impossible length even with exceptions disabled.
+// Returns a discarded value on an error. The library throws for an array whose header states an
+// impossible length, even with exceptions disabled.
 json parse_cbor(std::string_view data) {
   json result = json::value_t::discarded;
   try {
@@ -144,7 +145,7 @@
 }
 
 std::variant<Message, DecodeError> decode_message(const json& array, std::uint64_t fleet) {
-  constexpr auto kMaxKind = static_cast<std::uint64_t>(Message::Kind::broadcast_payload);
+  constexpr auto kMaxKind = static_cast<std::uint64_t>(Message::Kind::payload_only);
   FieldReader fields(array);
   Message message;
   const auto message_fleet = fields.number<std::uint64_t>(message_field::fleet);
@@ -199,25 +200,25 @@
                    message.digest,
                    std::move(updates),
                    json::binary({message.payload.begin(), message.payload.end()})};
-  std::string out;
-  json::to_cbor(array, out);
-  return out + checksum(out);
+  std::string encoded;
+  json::to_cbor(array, encoded);
+  return encoded + checksum(encoded);
 }
 
 std::variant<Message, DecodeError> decode(std::string_view datagram, std::uint64_t fleet) {
   if (datagram.size() > kMaxDatagramBytes || datagram.size() < kChecksumBytes) {
     return DecodeError::malformed;
   }
-  const std::string_view expected = datagram.substr(datagram.size() - kChecksumBytes);
+  const std::string_view received_checksum = datagram.substr(datagram.size() - kChecksumBytes);
   datagram.remove_suffix(kChecksumBytes);
-  if (expected != checksum(datagram)) {
+  if (received_checksum != checksum(datagram)) {
     return DecodeError::malformed;
   }
   const json array = parse_cbor(datagram);
   if (!array.is_array() || array.empty() || !array[message_field::format].is_number_unsigned()) {
     return DecodeError::malformed;
   }
-  // Checked before the number of fields, which may differ in another format.
+  // The version is checked before the number of fields, which may differ in another format.
   if (array[message_field::format].get<std::uint64_t>() != kFormatVersion) {
     return DecodeError::other_format;
   }
--- a/src/membership/codec.hpp
+++ b/src/membership/codec.hpp
@@ -1,9 +1,9 @@
 // The datagram format of the membership protocol: one message as a CBOR array (RFC 8949), followed
-// by its XXH3 checksum in 8 bytes, most significant first.
+// by the XXH3 checksum of the array in 8 bytes, most significant first.
 //
-// The checksum protects against corruption, not against forgery: without it a flipped bit could
-// create tokens out of nothing. Input from the network is never trusted: decode() returns either a
-// complete message of this fleet and format within all bounds, or the reason why it is none.
+// The checksum protects against corruption, not against forgery: without it a flipped bit could go
+// unnoticed and, for example, increase the number of tokens that a payload transfers. Datagrams are
+// not trusted: decode() checks every type, length and range.
 #pragma once
 
 #include <cstddef>
@@ -18,13 +18,21 @@
 
 inline constexpr std::size_t kMaxDatagramBytes = 1400;  // below the usual path MTU
 inline constexpr std::size_t kMaxNameBytes = 64;        // of a member's name
-inline constexpr std::size_t kMaxPayloadBytes = 900;
+inline constexpr std::size_t kMaxPayloadBytes = 900;    // of Message::payload
 
-enum class DecodeError : std::uint8_t { malformed, other_fleet, other_format };
+enum class DecodeError : std::uint8_t {
+  malformed,     // corrupt, not a message, or a field out of its bounds
+  other_fleet,   // a message of another fleet
+  other_format,  // the format version is not the one of this process
+};
 
-// Identifies the fleet that a datagram belongs to: a hash of the name in the operator file.
+// Returns the number that identifies a fleet in datagrams: a hash of the fleet's name in the
+// operator file.
 std::uint64_t fleet_id(std::string_view name);
 
+// Both functions take the fleet_id() of this process's fleet. encode() checks no bounds; decode()
+// never throws and returns either a complete message of this fleet, or the reason for the
+// rejection.
 std::string encode(const Message& message, std::uint64_t fleet);
 std::variant<Message, DecodeError> decode(std::string_view datagram, std::uint64_t fleet);
 
--- a/src/membership/member.cpp
+++ b/src/membership/member.cpp
@@ -18,9 +18,9 @@
   boost::system::error_code ec;
   const auto ip = boost::asio::ip::make_address_v4(std::string(text.substr(0, colon)), ec);
   std::uint16_t port = 0;
-  const char* last = text.data() + text.size();
-  const auto [end, error] = std::from_chars(text.data() + colon + 1, last, port);
-  if (ec || error != std::errc{} || end != last || port == 0) {
+  const char* text_end = text.data() + text.size();
+  const auto [port_end, error] = std::from_chars(text.data() + colon + 1, text_end, port);
+  if (ec || error != std::errc{} || port_end != text_end || port == 0) {
     return std::nullopt;
   }
   return Address{ip.to_uint(), port};
--- a/src/membership/member.hpp
+++ b/src/membership/member.hpp
@@ -1,4 +1,5 @@
-// Value types of the membership protocol: time, addresses, members and what is said about them.
+// Value types of the membership protocol: time, addresses, members, updates about members and
+// changes in a member's state.
 #pragma once
 
 #include <chrono>
@@ -9,10 +10,10 @@
 
 namespace gateway::membership {
 
-using Time = std::chrono::nanoseconds;  // monotonic, since an arbitrary epoch
+using Time = std::chrono::nanoseconds;  // of a monotonic clock, since an arbitrary epoch
 using Duration = std::chrono::nanoseconds;
 
-// An IPv4 address and UDP port in host byte order; port 0 means "no address".
+// An IPv4 address and a UDP port, both in host byte order. Port 0 means that there is no address.
 struct Address {
   std::uint32_t ip = 0;
   std::uint16_t port = 0;
@@ -22,50 +23,53 @@
 // Formats as "127.0.0.1:7000".
 std::string to_string(const Address& address);
 
-// Parses "127.0.0.1:7000"; nothing unless the text is an IPv4 address with a port from 1 to 65535.
+// Parses "127.0.0.1:7000". Returns nullopt unless the text is an IPv4 address with a port from 1 to
+// 65535.
 std::optional<Address> parse_address(std::string_view text);
 
-// The values are those of the wire format.
+// The numeric values are part of the datagram format. At the same version a higher value overrides
+// a lower one.
 enum class MemberState : std::uint8_t { alive, suspect, dead, left };
+// Returns the enumerator's name.
 std::string_view to_string(MemberState state);
 
-// True for alive and suspect members: a suspect counts as alive until its suspicion times out.
+// A suspect counts as alive until its suspicion times out.
 constexpr bool is_alive_or_suspect(MemberState state) {
   return state == MemberState::alive || state == MemberState::suspect;
 }
 
-// Orders the statements about one member. A restarted process has a higher boot id; a running one
-// raises its incarnation to refute a suspicion.
+// Orders the updates about one member, by boot id and then by incarnation. A restarted process has
+// a higher boot id; a running process increments its incarnation to refute a suspicion or a death.
 struct MemberVersion {
-  std::uint64_t boot_id = 0;  // start of the process, Unix milliseconds by its own clock
+  std::uint64_t boot_id = 0;  // start of the process in Unix milliseconds, by its own clock
   std::uint32_t incarnation = 0;
   // NOLINTNEXTLINE(modernize-use-nullptr): false positive on a defaulted comparison
   auto operator<=>(const MemberVersion&) const = default;
 };
 
-// One member's statement about the state of another (or of itself).
+// A statement about the state of a member, as gossiped between members.
 struct MemberUpdate {
   std::string name;
   Address address;
   MemberState state = MemberState::alive;
   MemberVersion version;
-  std::string reported_by;  // who suspects the member or declares it dead; else empty
+  std::string reported_by;  // the member that suspects it or declares it dead; may be empty
   bool operator==(const MemberUpdate&) const = default;
 };
 
-// A member as this process sees it.
+// This process's view of another member.
 struct Member {
   std::string name;
   Address address;
   MemberState state = MemberState::alive;
   MemberVersion version;
-  Time state_changed_at{};
+  Time state_changed_at{};  // by the clock of this process
 };
 
 enum class MemberChangeKind : std::uint8_t {
-  joined,         // the member was not known before
-  state_changed,  // from `from` to `to`
-  forgotten       // a dead or departed member was removed from the table; `from` equals `to`
+  joined,         // the member was not in the table before; `from` has no meaning
+  state_changed,  // from state `from` to state `to`
+  forgotten       // a dead or left member was removed from the table; `from` equals `to`
 };
 
 // A change in this process's view of another member.
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -13,7 +13,7 @@
 };
 
 void add_to_digest(XXH3_state_t* state, const std::string& name, const MemberVersion& version) {
-  // The terminating zero is included so that adjacent names cannot run together.
+  // Includes the terminating zero, so that a name and the bytes after it are hashed unambiguously.
   XXH3_64bits_update(state, name.data(), name.size() + 1);
   XXH3_64bits_update(state, &version.boot_id, sizeof version.boot_id);
   XXH3_64bits_update(state, &version.incarnation, sizeof version.incarnation);
@@ -68,14 +68,15 @@
                                   const MemberVersion& own_version) const {
   const std::unique_ptr<XXH3_state_t, FreeHashState> state(XXH3_createState());
   XXH3_64bits_reset(state.get());
-  const auto add_alive = [&state](Members::const_iterator from, Members::const_iterator to) {
-    for (auto it = from; it != to; ++it) {
+  const auto add_alive = [&state](Members::const_iterator first, Members::const_iterator last) {
+    for (auto it = first; it != last; ++it) {
       if (is_alive_or_suspect(it->second.state)) {
         add_to_digest(state.get(), it->first, it->second.version);
       }
     }
   };
-  // All members hash the names in the same order, so this process takes its place among them.
+  // Every member must hash the names in the same order, so this process, which is not in the table,
+  // is hashed at its position in the order of names.
   const auto own_position = members_.lower_bound(own_name);
   add_alive(members_.begin(), own_position);
   add_to_digest(state.get(), own_name, own_version);
--- a/src/membership/member_table.hpp
+++ b/src/membership/member_table.hpp
@@ -1,4 +1,5 @@
-// The other members that this process knows, with the counts and the digest derived from them.
+// The table of the other members that this process knows, with the counts and the digest derived
+// from it.
 #pragma once
 
 #include <cstddef>
@@ -12,27 +13,32 @@
 
 namespace gateway::membership {
 
+// Does not contain this process itself. Not thread-safe.
 class MemberTable {
  public:
   using Members = std::map<std::string, Member>;
 
-  const Members& members() const { return members_; }
-  const Member* find(std::string_view name) const;  // null if the member is not known
+  const Members& members() const { return members_; }  // by name
+  const Member* find(std::string_view name) const;     // null if the member is unknown
+  // `name` must be in the table; throws std::out_of_range otherwise.
   const Member& at(const std::string& name) const { return members_.at(name); }
 
-  // Both counts include this process itself.
+  // Both counts include this process.
   std::size_t alive_count() const { return alive_count_; }  // alive or suspect
-  std::size_t known_count() const { return known_count_; }  // all but those that left
+  std::size_t known_count() const { return known_count_; }  // all except those that left
 
-  // Stores what `update` says, without comparing versions, and returns what changed by it. The kind
-  // is `state_changed` with `from` equal to `to` if the state is the same as before.
+  // Overwrites the member's entry with `update`, or inserts it, and returns the change. The caller
+  // compares versions beforehand. If only the version or address changed, the kind is
+  // `state_changed` with `from` equal to `to`. An update without an address keeps the known
+  // address.
   MemberChange store(Time now, const MemberUpdate& update);
 
-  // Removes members that are dead or have left for `retention` and returns them as changes.
+  // Removes members that have been dead or left for at least `retention`; returns one change of
+  // kind `forgotten` for each.
   std::vector<MemberChange> remove_expired(Time now, Duration retention);
 
-  // A hash over the names and versions of all alive members and this process. Two members with the
-  // same digest need not exchange their tables.
+  // A hash over the names and versions of this process and all alive or suspect members. Two
+  // members with equal digests need not exchange their tables.
   std::uint64_t digest(const std::string& own_name, const MemberVersion& own_version) const;
 
  private:
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -8,14 +8,15 @@
 namespace gateway::membership {
 namespace {
 
-// Timers fire at least every 1.8 s, so a longer gap means that the process was stopped.
-constexpr Duration kProcessPause = std::chrono::milliseconds(2500);
+// A longer gap between two calls means that the process was paused. The cleanup timer fires every
+// second, and with the default settings the slowest probe timer every 1.8 s (200 ms * 9).
+constexpr Duration kProcessPauseThreshold = std::chrono::milliseconds(2500);
 
 }  // namespace
 
 Membership::Membership(Settings settings, std::uint64_t boot_id, std::uint64_t seed, Time now)
     : settings_(std::move(settings)), own_version_{boot_id, 0}, random_(seed) {
-  // Members that start together must not probe in lockstep.
+  // Random first times, so that members that start together do not probe and sync simultaneously.
   const auto random_time_within = [this, now](Duration interval) {
     const auto bound = static_cast<std::size_t>(interval.count()) + 1;
     return now + Duration(static_cast<Duration::rep>(random_below(random_, bound)));
@@ -58,8 +59,8 @@
   }
 }
 
-// A newer version always wins. At the same version the states override each other in the order
-// alive, suspect, dead, left.
+// An update with a newer version overrides the known state. At the same version an update overrides
+// an earlier state in the order alive, suspect, dead, left.
 void Membership::apply_to_peer(Time now, const Member& member, const MemberUpdate& update) {
   const bool newer = update.version > member.version;
   const bool same_version = update.version == member.version;
@@ -71,8 +72,8 @@
   }
 }
 
-// The first few confirmations are gossiped as well: they shorten the suspicion timeout of a member
-// that is really dead.
+// Records a further report of a suspicion. The first `expected_confirmations` of them are gossiped
+// as well, because they shorten the suspicion timeout at every member that receives them.
 void Membership::confirm_suspicion(const MemberUpdate& update) {
   Suspicion& suspicion = suspicions_[update.name];
   if (suspicion.reporters.size() <= settings_.expected_confirmations &&
@@ -83,15 +84,15 @@
 
 void Membership::apply_to_self(const MemberUpdate& update) {
   if (update.version.boot_id < own_version_.boot_id) {
-    // About an earlier process of this name. The others have to learn of this one.
+    // The update is about an earlier process of this name: announce the current process.
     if (update.state != MemberState::alive) {
       broadcasts_.add(own_update());
     }
     return;
   }
   if (update.version.boot_id > own_version_.boot_id) {
-    // At another address this is a newer process of the same name. At our own address it is an
-    // earlier process whose clock was ahead.
+    // At another address this is a newer process with the same name. Otherwise the update is about
+    // an earlier process whose clock was ahead: adopt a version above the update's.
     if (update.state == MemberState::alive && update.address != settings_.address) {
       participation_ = Participation::superseded;
       next_timer_ = Time::max();
@@ -108,12 +109,12 @@
   }
 }
 
-// Announces that this member is alive with an incarnation above the given one. Having to do so
-// means that others failed to reach us, which may be our own fault.
+// Announces that this member is alive with an incarnation above the given one. Raises the local
+// health score, because the other members may have failed to reach this member by its own fault.
 void Membership::refute(std::uint32_t incarnation) {
   own_version_.incarnation = std::max(own_version_.incarnation, incarnation) + 1;
   ++counters_.refutations;
-  adjust_local_health(1);
+  adjust_local_health_score(1);
   broadcasts_.add(own_update());
 }
 
@@ -127,7 +128,7 @@
   if (update.state == MemberState::suspect) {
     suspicions_[update.name] = {now, {update.reported_by}};
   }
-  // A member that came (back) to life is probed within the current round.
+  // A member that joined or is alive again is added to the current probe round.
   if (is_alive_or_suspect(change.to) && (joined || !is_alive_or_suspect(change.from))) {
     const std::size_t position = random_below(random_, probe_round_.size() + 1);
     probe_round_.insert(probe_round_.begin() + static_cast<std::ptrdiff_t>(position), update.name);
@@ -157,16 +158,16 @@
 
 // --- Local state
 
-void Membership::adjust_local_health(int delta) {
-  const int max = static_cast<int>(settings_.max_local_health);
-  local_health_ =
-      static_cast<unsigned>(std::clamp(static_cast<int>(local_health_) + delta, 0, max));
+void Membership::adjust_local_health_score(int delta) {
+  const int max = static_cast<int>(settings_.max_local_health_score);
+  local_health_score_ =
+      static_cast<unsigned>(std::clamp(static_cast<int>(local_health_score_) + delta, 0, max));
 }
 
-std::vector<const Member*> Membership::sample_alive(std::size_t count, std::string_view except) {
+std::vector<const Member*> Membership::sample_alive(std::size_t count, std::string_view excluded) {
   std::vector<const Member*> sample;
   for (const auto& [name, member] : table_.members()) {
-    if (member.state == MemberState::alive && name != except) {
+    if (member.state == MemberState::alive && name != excluded) {
       sample.push_back(&member);
     }
   }
@@ -178,18 +179,19 @@
   return sample;
 }
 
-// A process that was stopped finds all its timers overdue before it reads the messages that arrived
-// meanwhile. It would declare others dead for a time in which it could not hear anybody, so that
-// time is not counted.
+// After a pause, the event loop may run the overdue timers before it reads the datagrams that
+// arrived meanwhile. The process would then declare members dead although it could not receive
+// their refutations. So the pause does not count towards suspicion timeouts, the probes in progress
+// are dropped and the local health score rises.
 void Membership::detect_process_pause(Time now) {
   const Duration gap = now - last_activity_;
-  if (last_activity_ != Time{} && gap > kProcessPause) {
+  if (last_activity_ != Time{} && gap > kProcessPauseThreshold) {
     for (auto& [name, suspicion] : suspicions_) {
       suspicion.started_at += gap;
     }
     probe_.reset();
     indirect_probes_.clear();
-    adjust_local_health(1);
+    adjust_local_health_score(1);
   }
   last_activity_ = std::max(last_activity_, now);
 }
--- a/src/membership/membership_messages.cpp
+++ b/src/membership/membership_messages.cpp
@@ -1,4 +1,4 @@
-// Sending messages, and one handler for each kind of message that arrives.
+// The part of Membership that sends messages and handles received ones.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -8,63 +8,63 @@
 namespace gateway::membership {
 namespace {
 
-// An indirect probe reports a missing answer after this fraction of the probe timeout, so that the
-// nack still arrives in time.
+// An indirect probe sends a nack after this fraction of the probe timeout without an ack, so that
+// the nack arrives before the requester's probe ends.
 constexpr double kNackTimeoutFraction = 0.8;
-// Approximate bytes of updates in one `state` message.
-constexpr std::size_t kMaxStateBytes = 1000;
-// Members that are notified directly of a departure; the others learn of it by gossip.
+// Estimated bytes of updates in one member_table message.
+constexpr std::size_t kMaxTableUpdateBytes = 1000;
+// Members that a leaving member notifies directly; the others are notified by gossip.
 constexpr std::size_t kLeaveNotifications = 8;
 
 }  // namespace
 
 // --- Sending
 
-// Piggybacks pending updates. A recipient that is not considered alive gets that update first, so
-// that it can refute it.
+// Piggybacks pending updates. If the recipient is considered suspect, dead or left, the first
+// update says so, so that the recipient can refute it.
 void Membership::send(Address to, Message message, const std::string& recipient) {
   message.from = settings_.name;
   message.version = own_version_;
   std::size_t used_bytes = 0;
-  const std::string* except = nullptr;
+  const std::string* excluded_member = nullptr;
   if (const Member* member = table_.find(recipient);
       member && member->state != MemberState::alive) {
     message.updates.push_back(update_about(*member));
     message.updates.back().reported_by = settings_.name;
-    used_bytes += encoded_size(message.updates.back());
+    used_bytes += estimated_encoded_size(message.updates.back());
   }
   if (!message.updates.empty()) {
-    except = &recipient;
+    excluded_member = &recipient;
   }
   const double members = static_cast<double>(table_.alive_count()) + 1;
   const auto max_transmissions =
       static_cast<unsigned>(std::ceil(settings_.retransmit_multiplier * std::log10(members)));
   broadcasts_.take(message.updates, used_bytes, settings_.max_update_bytes, max_transmissions,
-                   except);
+                   excluded_member);
   outgoing_.push_back({to, std::move(message), recipient});
 }
 
-// Sends all known members in as many messages as it takes. The dead are included for only half of
-// their retention: otherwise members that have just forgotten one would learn of it again from each
-// other forever.
+// Sends all known members, in as many messages as necessary. Dead and left members are included
+// only during the first half of their retention. Otherwise a process that has just removed such a
+// member would receive it again from a process that has not, and the fleet would never forget it.
 void Membership::send_member_table(Address to) {
   Message part;
-  part.kind = Message::Kind::state;
+  part.kind = Message::Kind::member_table;
   part.from = settings_.name;
   part.version = own_version_;
   std::size_t used_bytes = 0;
   for (const auto& [name, member] : table_.members()) {
-    const Duration in_state = last_activity_ - member.state_changed_at;
-    if (!is_alive_or_suspect(member.state) && in_state > settings_.dead_member_retention / 2) {
+    const Duration time_in_state = last_activity_ - member.state_changed_at;
+    if (!is_alive_or_suspect(member.state) && time_in_state > settings_.dead_member_retention / 2) {
       continue;
     }
     const MemberUpdate update = update_about(member);
-    if (used_bytes + encoded_size(update) > kMaxStateBytes) {
+    if (used_bytes + estimated_encoded_size(update) > kMaxTableUpdateBytes) {
       outgoing_.push_back({to, part, {}});
       part.updates.clear();
       used_bytes = 0;
     }
-    used_bytes += encoded_size(update);
+    used_bytes += estimated_encoded_size(update);
     part.updates.push_back(update);
   }
   outgoing_.push_back({to, std::move(part), {}});
@@ -84,7 +84,7 @@
   }
   for (const Member* member : sample_alive(kLeaveNotifications)) {
     Message notification;
-    notification.kind = Message::Kind::state;
+    notification.kind = Message::Kind::member_table;
     notification.from = settings_.name;
     notification.version = own_version_;
     notification.updates.push_back(
@@ -107,7 +107,7 @@
     return;
   }
   Message message;
-  message.kind = Message::Kind::broadcast_payload;
+  message.kind = Message::Kind::payload_only;
   send(member->address, std::move(message), name);
 }
 
@@ -122,7 +122,7 @@
   for (const MemberUpdate& update : message.updates) {
     apply(now, update);
   }
-  if (superseded() || message.from == settings_.name) {
+  if (is_superseded() || message.from == settings_.name) {
     return;
   }
   dispatch(now, from, message);
@@ -143,16 +143,16 @@
     case Message::Kind::nack:
       on_nack(message);
       break;
-    case Message::Kind::join:
+    case Message::Kind::member_table_request:
       send_member_table(from);
       break;
     case Message::Kind::sync:
       on_sync(from, message);
       break;
-    case Message::Kind::state:
+    case Message::Kind::member_table:
       join_pending_ = false;
       break;
-    case Message::Kind::broadcast_payload:
+    case Message::Kind::payload_only:
       break;
   }
 }
@@ -186,7 +186,7 @@
 void Membership::on_ack(const Message& message) {
   if (probe_ && probe_->sequence == message.sequence && probe_->phase != ProbePhase::acknowledged) {
     probe_->phase = ProbePhase::acknowledged;
-    adjust_local_health(-1);
+    adjust_local_health_score(-1);
   }
   const auto indirect = std::find_if(
       indirect_probes_.begin(), indirect_probes_.end(),
@@ -202,8 +202,8 @@
 }
 
 void Membership::on_nack(const Message& message) {
-  if (probe_ && probe_->sequence == message.sequence && probe_->nacks_due > 0) {
-    --probe_->nacks_due;
+  if (probe_ && probe_->sequence == message.sequence && probe_->missing_nacks > 0) {
+    --probe_->missing_nacks;
   }
 }
 
@@ -213,7 +213,7 @@
   }
   send_member_table(from);
   Message request;
-  request.kind = Message::Kind::join;
+  request.kind = Message::Kind::member_table_request;
   request.sequence = message.sequence;
   send(from, std::move(request), message.from);
 }
--- a/src/membership/membership_timers.cpp
+++ b/src/membership/membership_timers.cpp
@@ -1,4 +1,4 @@
-// The steps that the passing of time causes, one function for each.
+// The part of Membership that runs on timers, one function for each step.
 #include <algorithm>
 #include <utility>
 
@@ -13,8 +13,7 @@
 
 }  // namespace
 
-// The order of the steps decides the order of the random draws, so a change of it changes what a
-// seed reproduces.
+// The steps draw random numbers, so with another order the same seed gives another run.
 void Membership::on_timer(Time now) {
   if (!is_active()) {
     return;
@@ -34,7 +33,7 @@
 
 // --- Probes
 
-// Asks other members to probe the target, which may be unreachable from here only.
+// Sends ping requests to other members: the target may be unreachable from this member only.
 void Membership::send_due_ping_requests(Time now) {
   if (!probe_ || probe_->phase != ProbePhase::direct || now < probe_->timeout_at) {
     return;
@@ -44,13 +43,13 @@
   if (!target) {
     return;
   }
-  for (const Member* member : sample_alive(settings_.indirect_probes, probe_->target)) {
+  for (const Member* member : sample_alive(settings_.indirect_probe_count, probe_->target)) {
     Message request;
     request.kind = Message::Kind::ping_request;
     request.sequence = probe_->sequence;
     request.target = probe_->target;
     request.target_address = target->address;
-    ++probe_->nacks_due;
+    ++probe_->missing_nacks;
     send(member->address, std::move(request));
   }
 }
@@ -102,7 +101,8 @@
   }
 }
 
-// All alive members in random order, so that each is probed within a bounded time.
+// Fills the round with all alive and suspect members in random order. Round by round, each member
+// is probed within a bounded time.
 void Membership::fill_probe_round() {
   for (const auto& [name, member] : table_.members()) {
     if (is_alive_or_suspect(member.state)) {
@@ -121,10 +121,10 @@
     return;
   }
   ++counters_.failed_probes;
-  // Nacks show that this member can be reached and the target cannot. Without them the cause may be
-  // this member itself.
-  const bool all_nacked = probe.phase == ProbePhase::indirect && probe.nacks_due == 0;
-  adjust_local_health(all_nacked ? 0 : static_cast<int>(std::max(probe.nacks_due, 1U)));
+  // A nack shows that this member can reach others and that they did not reach the target. If nacks
+  // are missing, the fault may be at this member, so its local health score rises.
+  const bool all_nacked = probe.phase == ProbePhase::indirect && probe.missing_nacks == 0;
+  adjust_local_health_score(all_nacked ? 0 : static_cast<int>(std::max(probe.missing_nacks, 1U)));
   suspect(now, probe.target);
 }
 
@@ -155,7 +155,8 @@
 
 // --- Anti-entropy and cleanup
 
-// Also while no other member is alive: all those that were known may have changed their addresses.
+// Also requests the member table while no other member is alive, because all known members may have
+// changed their addresses.
 void Membership::retry_join(Time now) {
   if (now < next_join_) {
     return;
@@ -165,7 +166,7 @@
     return;
   }
   Message request;
-  request.kind = Message::Kind::join;
+  request.kind = Message::Kind::member_table_request;
   send(seeds_[random_below(random_, seeds_.size())], std::move(request));
 }
 
@@ -184,8 +185,8 @@
   }
 }
 
-// Members on the other side of a healed network partition are dead to each other; a ping that
-// reaches one lets it refute that.
+// After a network partition has healed, members of its two sides still consider each other dead. A
+// ping carries that state to the target, which refutes it.
 void Membership::ping_dead_member(Time now) {
   if (now < next_reconnect_) {
     return;
--- a/src/membership/transport.cpp
+++ b/src/membership/transport.cpp
@@ -11,8 +11,9 @@
 
 namespace {
 
-constexpr std::size_t kPayloadHeaderBytes = 4;  // CBOR's head of a byte string, at most
-// Enough for the replies of a large fleet to a join.
+// Maximum size of the CBOR head of a payload.
+constexpr std::size_t kPayloadHeaderBytes = 4;
+// Holds the burst of datagrams in which a large fleet sends its member table after a join.
 constexpr int kReceiveBufferBytes = 1 << 18;
 
 }  // namespace
@@ -58,8 +59,8 @@
                                if (ec == asio::error::operation_aborted) {
                                  return;
                                }
-                               // Another error reports that an earlier datagram of ours met a
-                               // closed port.
+                               // Any other error means that a datagram sent earlier reached a
+                               // closed port; receiving goes on.
                                if (!ec) {
                                  on_datagram({receive_buffer_.data(), bytes});
                                }
@@ -102,7 +103,7 @@
   const auto sender = peers.find(message.from);
   if (sender == peers.end() || sender->second.address != from ||
       sender->second.version.boot_id != message.version.boot_id) {
-    ++counters_.not_its_address;
+    ++counters_.sender_mismatches;
     return;
   }
   if (callbacks_.on_payload) {
@@ -133,7 +134,7 @@
       datagram = encode(outgoing.message, fleet_);
     }
   }
-  error_code ignored;  // the datagram counts as lost, which the protocol tolerates
+  error_code ignored;  // the protocol tolerates the loss of a datagram
   const udp::endpoint destination(asio::ip::address_v4(outgoing.to.ip), outgoing.to.port);
   socket_.send_to(asio::buffer(datagram), destination, 0, ignored);
   ++counters_.sent;
--- a/src/membership/transport.hpp
+++ b/src/membership/transport.hpp
@@ -1,6 +1,8 @@
-// Runs the membership protocol over UDP on the caller's event loop. It makes no decisions of its
-// own. Datagrams that are not of this fleet, or that do not come from the address of the member
-// that they name, are counted and dropped. Used from the event loop's thread only.
+// Runs the membership protocol over UDP on the caller's event loop: the socket, the timer, the
+// encoding and payloads. All decisions are Membership's. Datagrams that cannot be decoded or belong
+// to another fleet or format are counted and dropped, and so are payloads that do not come from the
+// known address of the member that they name as sender. Must be used from the event loop's thread
+// only.
 #pragma once
 
 #include <array>
@@ -20,23 +22,26 @@
 
 class Transport {
  public:
+  // Callbacks that are not set are not called.
   struct Callbacks {
-    // The payload to piggyback for a member, at most `max_bytes` long; empty: none.
+    // Returns the payload to piggyback for a member, at most `max_bytes` long; empty: none.
     std::function<std::string(const std::string& member, std::size_t max_bytes)> payload_for;
-    // A payload that arrived from the member's own address.
+    // Called with a payload that arrived from the member's known address.
     std::function<void(const std::string& member, std::string_view payload)> on_payload;
+    // Called for each change in this process's view of another member.
     std::function<void(const MemberChange&)> on_change;
   };
   struct Counters {
-    std::uint64_t sent = 0;
+    std::uint64_t sent = 0;  // datagrams
     std::uint64_t sent_bytes = 0;
-    std::uint64_t received = 0;
-    // Datagrams that were dropped, by reason.
+    std::uint64_t received = 0;  // datagrams, including dropped ones
+    // Datagrams dropped, by reason; see DecodeError.
     std::uint64_t malformed = 0;
     std::uint64_t other_fleet = 0;
     std::uint64_t other_format = 0;
-    // Payloads that were dropped because the sender's address is not the member's known one.
-    std::uint64_t not_its_address = 0;
+    // Payloads dropped because the sender is unknown, or its address or boot id is not the known
+    // value.
+    std::uint64_t sender_mismatches = 0;
   };
 
   // Binds the socket and starts to receive; throws boost::system::system_error if that fails.
@@ -45,7 +50,7 @@
             std::uint64_t fleet, Settings settings, std::uint64_t boot_id, std::uint64_t seed,
             Callbacks callbacks);
 
-  // See Membership for these.
+  // These do what the functions of the same name in Membership do, and send the resulting messages.
   void join(std::vector<Address> seeds);
   void broadcast_payload(std::size_t count);
   void send_payload_to(const std::string& member);
@@ -70,9 +75,10 @@
   Membership membership_;
   Callbacks callbacks_;
   Counters counters_;
-  Time scheduled_at_ = Time::max();  // expiry of the running timer; max: it is not running
-  boost::asio::ip::udp::endpoint sender_;
-  // One byte more than allowed, so that a datagram that is too long is not mistaken for a good one.
+  Time scheduled_at_ = Time::max();        // expiry of the running timer; Time::max(): not running
+  boost::asio::ip::udp::endpoint sender_;  // of the datagram in the receive buffer
+  // One byte longer than a datagram may be: a longer datagram is truncated to this size, and
+  // decode() rejects it instead of accepting its first bytes as a message.
   std::array<char, kMaxDatagramBytes + 1> receive_buffer_{};
 };
 
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -322,7 +322,7 @@
   claim.version = {sim.at(1).version().boot_id + 5000, 0};
   sim.at(0).on_message(sim.now(), sim.nodes[3].address, claim);
   sim.run_for(3s);
-  EXPECT_TRUE(sim.at(1).superseded());
+  EXPECT_TRUE(sim.at(1).is_superseded());
   EXPECT_EQ(sim.at(0).peers().at("g1").address, sim.nodes[3].address);
 }
 
