--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -1,4 +1,5 @@
-// The gateway on real loopback sockets: outcomes, limits on repeats, drains, clients, bounds.
+// The gateway on real loopback sockets: forwarding, outcomes of attempts, retries, clients and
+// their limits, discovery, graceful stop, maintenance and drain, shared listening sockets, reload.
 #include <unistd.h>
 
 #include "support/gateway_fixture.hpp"
@@ -57,8 +58,8 @@
 }
 
 TEST_F(GatewayTest, DoesNotUseIdleConnectionClosedByHost) {
-  // An unsafe request written to it would end as a reset, which may have run: it would fail for
-  // nothing.
+  // A non-idempotent request that is written to such a connection ends with a reset. It may have
+  // been executed then, so it could not be retried and would fail needlessly.
   add_host("a", always_reply(response_text(200, "", "x")));
   start();
   EXPECT_EQ(send_request(request_text("write")).result_int(), 200u);
@@ -75,7 +76,7 @@
   EXPECT_TRUE(until([&] { return hosts[0]->connections[0]->closed_by_peer; }));
 }
 
-TEST_F(GatewayTest, AnswersPipelinedRequestsInOrder) {
+TEST_F(GatewayTest, RespondsToPipelinedRequestsInOrder) {
   add_host("a", [](PeerConnection& c, std::size_t n) {
     c.reply(response_text(200, "", std::to_string(n)));
   });
@@ -90,16 +91,18 @@
 
 // --- Attempt outcomes ---
 
-struct Row {
+// What the host does at the first attempt, and whether the request may have been executed then.
+struct FaultCase {
   const char* name;
-  std::function<void(PeerConnection&)> wrong;
+  std::function<void(PeerConnection&)> fault;
   bool may_have_run;
 };
-std::ostream& operator<<(std::ostream& out, const Row& row) {
-  return out << row.name;
+std::ostream& operator<<(std::ostream& out, const FaultCase& fault_case) {
+  return out << fault_case.name;
 }
 
-std::string many(const std::string& text) {  // of it, as much as no head may hold
+// Repeats the text up to three times the size limit of a head.
+std::string repeat_beyond_header_limit(const std::string& text) {
   std::string all;
   while (all.size() < std::size_t{3} * http::kHeaderLimit) {
     all += text;
@@ -107,108 +110,129 @@
   return all;
 }
 
-class AttemptOutcomeTest : public GatewayTest, public ::testing::WithParamInterface<Row> {};
+class AttemptOutcomeTest : public GatewayTest, public ::testing::WithParamInterface<FaultCase> {};
 
 TEST_P(AttemptOutcomeTest, RetriesNonIdempotentRequestOnlyIfNotExecuted) {
-  start_with_two_hosts(first_attempt(GetParam().wrong));
+  start_with_two_hosts(first_attempt(GetParam().fault));
   const Response r = send_request(request_text("write", "", "body"));
   EXPECT_EQ(r.result_int(), GetParam().may_have_run ? 502u : 200u);
   EXPECT_EQ(attempted_hosts.size(), GetParam().may_have_run ? 1u : 2u);
 }
 
 TEST_P(AttemptOutcomeTest, RetriesIdempotentRequestOnOtherHost) {
-  start_with_two_hosts(first_attempt(GetParam().wrong));
+  start_with_two_hosts(first_attempt(GetParam().fault));
   const Response r = send_request(request_text("read"));
   EXPECT_EQ(r.result_int(), 200u);
-  EXPECT_EQ(r.body(), "late") << "nothing of the broken answer is served";
+  EXPECT_EQ(r.body(), "late") << "no part of the invalid response is forwarded";
   EXPECT_EQ(std::set<std::string>(attempted_hosts.begin(), attempted_hosts.end()).size(), 2u);
 }
 
 INSTANTIATE_TEST_SUITE_P(
     Protocol, AttemptOutcomeTest,
     ::testing::Values(
-        Row{"error", [](PeerConnection& c) { c.reply(response_text(500, "", "no")); }, true},
-        Row{"full503", [](PeerConnection& c) { c.reply(response_text(503, kNotRun, "")); }, false},
-        Row{"full504", [](PeerConnection& c) { c.reply(response_text(504, kNotRun, "")); }, false},
-        Row{"bare503", [](PeerConnection& c) { c.reply(response_text(503, "", "")); }, true},
-        Row{"bare504",
-            [](PeerConnection& c) { c.reply(response_text(504, "X-Not-Run: 0\r\n", "")); }, true},
-        Row{"errorThatClaimsNotRun",
-            [](PeerConnection& c) { c.reply(response_text(500, kNotRun, "")); }, true},
-        Row{"unexpected",
-            [](PeerConnection& c) { c.reply(response_text(302, "Location: /\r\n", "")); }, true},
-        Row{"reset", [](PeerConnection& c) { c.reset(); }, true},
-        Row{"closed", [](PeerConnection& c) { c.close(); }, true},
-        Row{"garbage", [](PeerConnection& c) { c.reply("what?\r\n\r\n"); }, true},
-        Row{"cutHead", [](PeerConnection& c) { c.reply("HTTP/1.1 200 OK\r\nConte", true); }, true},
-        Row{"cutBody",
-            [](PeerConnection& c) {
-              c.reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true);
-            },
-            true},
-        Row{"cutChunk",
-            [](PeerConnection& c) {
-              c.reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", true);
-            },
-            true},
-        // Without a length an answer ends with an orderly end of its connection, and a reset is
-        // none.
-        Row{"noLengthThenReset",
-            [](PeerConnection& c) {
-              c.reply("HTTP/1.1 200 OK\r\n\r\nlooks whole");
-              c.reset();
-            },
-            true},
-        Row{"closingNoLengthThenReset",
-            [](PeerConnection& c) {
-              c.reply("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nlooks whole");
-              c.reset();
-            },
-            true},
-        Row{"tooLarge",
-            [](PeerConnection& c) {
-              c.reply(response_text(200, "", std::string(http::kBodyLimit + 1, 'x')));
-            },
-            true},
-        // The connection stays open behind these: it is of no further use, and nobody waits for
-        // more.
-        Row{"threeGigabytes",
-            [](PeerConnection& c) {
-              c.reply("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc");
-            },
-            true},
-        Row{"endlessHead",
-            [](PeerConnection& c) { c.reply("HTTP/1.1 200 OK\r\n" + many("X: y\r\n")); }, true},
-        Row{"endlessLine",
-            [](PeerConnection& c) { c.reply("HTTP/1.1 200 OK\r\nX: " + many("yyyy")); }, true},
-        Row{"endlessChunkHead",
-            [](PeerConnection& c) {
-              c.reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;" + many("yyyyy") +
-                      many("yyyyy"));
-            },
-            true},
-        Row{"badChunk",
+        FaultCase{"status500", [](PeerConnection& c) { c.reply(response_text(500, "", "no")); },
+                  true},
+        FaultCase{"status503NotRun",
+                  [](PeerConnection& c) { c.reply(response_text(503, kNotRun, "")); }, false},
+        FaultCase{"status504NotRun",
+                  [](PeerConnection& c) { c.reply(response_text(504, kNotRun, "")); }, false},
+        FaultCase{"status503", [](PeerConnection& c) { c.reply(response_text(503, "", "")); },
+                  true},
+        FaultCase{"status504NotRunZero",
+                  [](PeerConnection& c) { c.reply(response_text(504, "X-Not-Run: 0\r\n", "")); },
+                  true},
+        FaultCase{"status500NotRun",
+                  [](PeerConnection& c) { c.reply(response_text(500, kNotRun, "")); }, true},
+        FaultCase{"status302",
+                  [](PeerConnection& c) { c.reply(response_text(302, "Location: /\r\n", "")); },
+                  true},
+        FaultCase{"resetWithoutResponse", [](PeerConnection& c) { c.reset(); }, true},
+        FaultCase{"closedWithoutResponse", [](PeerConnection& c) { c.close(); }, true},
+        FaultCase{"invalidStatusLine", [](PeerConnection& c) { c.reply("what?\r\n\r\n"); }, true},
+        FaultCase{"truncatedHead",
+                  [](PeerConnection& c) { c.reply("HTTP/1.1 200 OK\r\nConte", true); }, true},
+        FaultCase{"truncatedBody",
+                  [](PeerConnection& c) {
+                    c.reply("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", true);
+                  },
+                  true},
+        FaultCase{"truncatedChunkedBody",
+                  [](PeerConnection& c) {
+                    c.reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
+                            true);
+                  },
+                  true},
+        // A body without a length ends with an orderly end of its connection. A reset is none, so
+        // the body may be incomplete.
+        FaultCase{"noLengthThenReset",
+                  [](PeerConnection& c) {
+                    c.reply("HTTP/1.1 200 OK\r\n\r\nlooks whole");
+                    c.reset();
+                  },
+                  true},
+        FaultCase{"closingNoLengthThenReset",
+                  [](PeerConnection& c) {
+                    c.reply("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nlooks whole");
+                    c.reset();
+                  },
+                  true},
+        FaultCase{"oversizedBody",
+                  [](PeerConnection& c) {
+                    c.reply(response_text(200, "", std::string(http::kBodyLimit + 1, 'x')));
+                  },
+                  true},
+        // The host keeps the connection open after these. The gateway must end the attempt without
+        // waiting for more input.
+        FaultCase{"announcedThreeGigabytes",
+                  [](PeerConnection& c) {
+                    c.reply("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nabc");
+                  },
+                  true},
+        FaultCase{"oversizedHead",
+                  [](PeerConnection& c) {
+                    c.reply("HTTP/1.1 200 OK\r\n" + repeat_beyond_header_limit("X: y\r\n"));
+                  },
+                  true},
+        FaultCase{"oversizedField",
+                  [](PeerConnection& c) {
+                    c.reply("HTTP/1.1 200 OK\r\nX: " + repeat_beyond_header_limit("yyyy"));
+                  },
+                  true},
+        FaultCase{"oversizedChunkHead",
+                  [](PeerConnection& c) {
+                    c.reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1;" +
+                            repeat_beyond_header_limit("yyyyy") +
+                            repeat_beyond_header_limit("yyyyy"));
+                  },
+                  true},
+        FaultCase{
+            "invalidChunkSize",
             [](PeerConnection& c) {
               c.reply("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nab\r\n0\r\n\r\n");
             },
             true},
-        Row{"twoLengths",
+        FaultCase{
+            "repeatedContentLength",
             [](PeerConnection& c) { c.reply(response_text(200, "Content-Length: 3\r\n", "abc")); },
             true},
-        Row{"lengthAndCoding",
-            [](PeerConnection& c) {
-              c.reply(
-                  response_text(200, "Transfer-Encoding: chunked\r\n", "3\r\nabc\r\n0\r\n\r\n"));
-            },
-            true},
-        Row{"negativeLength",
+        FaultCase{"contentLengthAndChunked",
+                  [](PeerConnection& c) {
+                    c.reply(response_text(200, "Transfer-Encoding: chunked\r\n",
+                                          "3\r\nabc\r\n0\r\n\r\n"));
+                  },
+                  true},
+        FaultCase{
+            "negativeContentLength",
             [](PeerConnection& c) { c.reply("HTTP/1.1 200 OK\r\nContent-Length: -3\r\n\r\nabc"); },
             true},
-        Row{"switched", [](PeerConnection& c) { c.reply("HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n"); },
-            true},
-        Row{"endlessInterim", [](PeerConnection& c) { c.reply(many("HTTP/1.1 103 X\r\n\r\n")); },
-            true}),
-    [](const auto& row) { return row.param.name; });
+        FaultCase{"switchedProtocol",
+                  [](PeerConnection& c) { c.reply("HTTP/1.1 101 X\r\nUpgrade: x\r\n\r\n"); }, true},
+        FaultCase{"tooManyInterimResponses",
+                  [](PeerConnection& c) {
+                    c.reply(repeat_beyond_header_limit("HTTP/1.1 103 X\r\n\r\n"));
+                  },
+                  true}),
+    [](const auto& info) { return info.param.name; });
 
 TEST_F(GatewayTest, SkipsInterimResponses) {
   add_host("a", always_reply("HTTP/1.1 103 Early\r\nLink: </a>\r\n\r\nHTTP/1.1 102 X\r\n\r\n" +
@@ -216,13 +240,15 @@
   start();
   EXPECT_EQ(send_request(request_text("write")).body(), "final");
   EXPECT_EQ(send_request(request_text("write")).body(), "final");
-  EXPECT_EQ(hosts[0]->connections.size(), 1u) << "and nothing is wrong with the connection";
+  EXPECT_EQ(hosts[0]->connections.size(), 1u) << "the connection stays in use";
 }
 
+// Bytes that a host sends after a response must not become the response to the next request. Its
+// connection is not used again.
 TEST_F(GatewayTest, DiscardsBytesAfterCompleteResponse) {
   add_host("a", [](PeerConnection& c, std::size_t n) {
-    const std::string answer = response_text(200, "", std::to_string(n));
-    c.reply(n % 2 == 0 ? answer + answer : answer + "\x01noise");
+    const std::string response = response_text(200, "", std::to_string(n));
+    c.reply(n % 2 == 0 ? response + response : response + "\x01noise");
   });
   start();
   for (int i = 0; i < 4; ++i) {
@@ -232,7 +258,8 @@
 }
 
 TEST_F(GatewayTest, IgnoresResponseArrivingAsClientDisconnects) {
-  // Both are ready in one turn of the loop: the attempt is cancelled with its answer read already.
+  // The disconnect and the response are ready in the same iteration of the event loop: the attempt
+  // is cancelled when its response has already been read from the socket.
   std::vector<std::shared_ptr<PeerConnection>> pending;
   add_host("a", [&](PeerConnection& c, std::size_t) { pending.push_back(c.shared_from_this()); });
   start();
@@ -262,10 +289,10 @@
   }
 }
 
-TEST_F(GatewayTest, RejectsRequestWhenAllHostsAreFull) {
+TEST_F(GatewayTest, RejectsRequestWhenAllHostsRejectIt) {
   start_with_two_hosts(always_reply(response_text(503, kNotRun, "")));
   EXPECT_EQ(send_request(request_text("write")).result_int(), 503u)
-      << "it never ran: a refusal, not a failure";
+      << "never executed, so the request is rejected and does not fail";
 }
 
 TEST_F(GatewayTest, FailsTimedOutNonIdempotentRequestAndClosesConnection) {
@@ -273,7 +300,7 @@
   start_with_two_hosts([](PeerConnection&, std::size_t) {});
   EXPECT_EQ(send_request(request_text("write")).result_int(), 502u);
   EXPECT_EQ(attempted_hosts.size(), 1u);
-  // A late answer on it would be taken for that to the next request.
+  // A late response on it would be taken for the response to the next request.
   EXPECT_TRUE(until([&] {
     return std::any_of(hosts.begin(), hosts.end(), [](const auto& h) {
       return !h->connections.empty() && h->connections[0]->closed_by_peer;
@@ -287,11 +314,11 @@
   EXPECT_EQ(send_request(request_text("read")).result_int(), 503u);
 }
 
-TEST_F(GatewayTest, RespondsAtClientDeadlineWithoutFurtherAttempts) {
+TEST_F(GatewayTest, RejectsAtClientDeadlineWithoutFurtherAttempts) {
   start_with_two_hosts([](PeerConnection&, std::size_t) {});
   EXPECT_EQ(send_request(request_text("read", "X-Deadline-Ms: 1000\r\n")).result_int(), 503u)
-      << "long before the aim";
-  EXPECT_EQ(attempted_hosts.size(), 1u) << "the attempt took all the time there was";
+      << "at the client's deadline, long before the latency objective";
+  EXPECT_EQ(attempted_hosts.size(), 1u) << "the first attempt used all the time remaining";
   EXPECT_LT(
       std::stol(
           hosts[attempted_hosts[0] == "s-0" ? 0 : 1]->requests.at(0)["X-Deadline-Ms"].to_string()),
@@ -305,7 +332,8 @@
 }
 
 TEST_F(GatewayTest, IgnoresBufferedResponseAfterClientDisconnects) {
-  // the attempt goes on, and its answer is for nobody
+  // Without cancellation the attempt continues, and its response has no client any more. It must
+  // not become the response to a later request.
   config["settings"]["ceilings"]["cancel"] = false;
   std::shared_ptr<PeerConnection> pending;
   add_host("a", [&](PeerConnection& c, std::size_t n) {
@@ -326,48 +354,53 @@
   }
 }
 
-// --- Deduplicated requests ---
+// --- Host choice ---
 
 TEST_F(GatewayTest, PrefersHostWithFewerRequestsInFlight) {
-  const auto waits = [](PeerConnection&, std::size_t) {
+  const auto never_replies = [](PeerConnection&, std::size_t) {
   };
   for (int i = 0; i < 6; ++i) {
-    add_host("a", waits);
+    add_host("a", never_replies);
   }
   start();
-  std::vector<std::pair<std::string, std::shared_ptr<Client>>>
-      open;  // host and client of each request
+  // Host and client of each request.
+  std::vector<std::pair<std::string, std::shared_ptr<Client>>> open_requests;
   const auto send_one = [&] {
     auto c = client();
     c->send(request_text("write"));
     const std::size_t before = attempted_hosts.size();
     ASSERT_TRUE(until([&] { return attempted_hosts.size() > before; }));
-    open.emplace_back(attempted_hosts.back(), c);
+    open_requests.emplace_back(attempted_hosts.back(), c);
   };
   for (int i = 0; i < 12; ++i) {
     send_one();
   }
-  for (const char* const freed : {"s-1", "s-4", "s-2"}) {
-    std::size_t left = 0;
-    for (auto& [host, c] : open) {
-      if (host == freed) {
-        c->close(), ++left;
+  for (const char* const idle_host : {"s-1", "s-4", "s-2"}) {
+    std::size_t closed = 0;
+    for (auto& [host, c] : open_requests) {
+      if (host == idle_host) {
+        c->close(), ++closed;
       }
     }
-    std::erase_if(open, [&](const auto& o) { return o.first == freed; });
-    ASSERT_GE(left, 2u) << "the twelve lie evenly on six hosts";
-    Peer& host = *hosts[static_cast<std::size_t>(freed[2] - '0')];
+    std::erase_if(open_requests, [&](const auto& request) { return request.first == idle_host; });
+    ASSERT_GE(closed, 2u) << "twelve requests are spread evenly over six hosts";
+    Peer& host = *hosts[static_cast<std::size_t>(idle_host[2] - '0')];
     ASSERT_TRUE(until([&] {
       return std::all_of(host.connections.begin(), host.connections.end(),
                          [](const auto& c) { return c->closed_by_peer; });
     }));
     for (int i = 0; i < 2; ++i) {
       send_one();
-      EXPECT_EQ(attempted_hosts.back(), freed) << "all the others hold about two";
+      EXPECT_EQ(attempted_hosts.back(), idle_host)
+          << "each other host has about two requests in flight";
     }
   }
 }
 
+// --- Deduplicated requests ---
+
+// Requests of the class "put" are deduplicated within a zone: a retry in another zone could execute
+// the request twice.
 TEST_F(GatewayTest, RetriesExecutedKeyedRequestInSameZone) {
   const Script script = first_attempt([](PeerConnection& c) { c.reset(); });
   for (const char* zone : {"a", "a", "b", "b"}) {
@@ -423,23 +456,25 @@
   EXPECT_FALSE(attempted_hosts.empty());
 }
 
-TEST_F(GatewayTest, RetriesDoNotMakeFirstAttemptsLookLate) {
-  // An attempt has 14 s of the client's 20 s, a retry the time remaining. A retry after the latency
-  // objective is rejected without being sent.
+TEST_F(GatewayTest, ClientRetriesDoNotMakeFirstRequestsLookLate) {
+  // The client of this class waits 20 s: 14 s for its first request, then for retries in the
+  // remaining time. A client retry past the latency objective is rejected unsent. Retries must not
+  // lower the time remaining that is usual for first requests: those would then be rejected as
+  // well.
   config["settings"]["grades"][0]["aimNs"] = 5'000'000'000;
   add_host("a", always_reply(response_text(200, "", "x")));
   start();
-  const std::string first_try = "X-Deadline-Ms: 14000\r\n";
-  EXPECT_EQ(send_request(request_text("read", first_try)).result_int(), 200u);
+  const std::string first_request = "X-Deadline-Ms: 14000\r\n";
+  EXPECT_EQ(send_request(request_text("read", first_request)).result_int(), 200u);
   for (int i = 0; i < 60; ++i) {
-    const std::string left = "X-Deadline-Ms: " + std::to_string(800 + 400 * (i * 7 % 28)) + "\r\n";
-    EXPECT_EQ(send_request(request_text("read", i % 4 == 3 ? first_try : left)).result_int(),
+    const std::string retry = "X-Deadline-Ms: " + std::to_string(800 + 400 * (i * 7 % 28)) + "\r\n";
+    EXPECT_EQ(send_request(request_text("read", i % 4 == 3 ? first_request : retry)).result_int(),
               i % 4 == 3 ? 200u : 503u)
         << i;
   }
 }
 
-TEST_F(GatewayTest, ServesFirstAttemptsAfterStartWithRetry) {
+TEST_F(GatewayTest, ServesFirstRequestAfterStartWithClientRetry) {
   config["settings"]["grades"][0]["aimNs"] = 5'000'000'000;
   add_host("a", always_reply(response_text(200, "", "x")));
   start();
@@ -468,7 +503,7 @@
   start_with_two_hosts(always_reply(response_text(200, "", "ok")));
   EXPECT_EQ(send_request("nonsense\r\n\r\n").result_int(), 400u);
   EXPECT_EQ(send_request("GET /read HTTP/1.1\r\nX-Class: read\r\n\r\n").result_int(), 400u)
-      << "no id";
+      << "without X-Request-Id";
   EXPECT_EQ(send_request(request_text("read", "X-Deadline-Ms: soon\r\n")).result_int(), 400u);
   EXPECT_EQ(send_request("GET /other HTTP/1.1\r\nX-Request-Id: r\r\n\r\n").result_int(), 404u);
   EXPECT_EQ(send_request("GET /alive HTTP/1.1\r\n\r\n").result_int(), 404u);
@@ -510,44 +545,46 @@
   gateway.reset();
   waits.clients.request_timeout = std::chrono::milliseconds(1000);
   start();
-  auto usual = client();
-  usual->send(request_text("read"));
-  ASSERT_TRUE(until([&] { return usual->responses.size() == 1; }));
+  auto idle = client();
+  idle->send(request_text("read"));
+  ASSERT_TRUE(until([&] { return idle->responses.size() == 1; }));
   auto silent = client();
   EXPECT_TRUE(until([&] { return silent->closed_by_peer; }));
-  EXPECT_FALSE(usual->closed_by_peer);
+  EXPECT_FALSE(idle->closed_by_peer);
 }
 
+// If a proxy and the gateway disagree on where a request ends, a client can hide a second request
+// in the first one. All ambiguous framings are rejected, and the connection is closed.
 TEST_F(GatewayTest, RejectsAmbiguousFraming) {
   start_with_two_hosts(always_reply(response_text(200, "", "ok")));
   const std::string post = "POST /write HTTP/1.1\r\nX-Request-Id: r\r\n";
-  const std::string hidden = "GET /read HTTP/1.1\r\nX-Request-Id: hidden\r\n\r\n";
-  const std::string coded = "Transfer-Encoding: chunked\r\n";
+  const std::string smuggled = "GET /read HTTP/1.1\r\nX-Request-Id: hidden\r\n\r\n";
+  const std::string chunked = "Transfer-Encoding: chunked\r\n";
   for (const std::string& bad :
-       {post + "Content-Length: 4\r\n" + coded + "\r\n0\r\n\r\n" + hidden,
-        post + coded + "Content-Length: 4\r\n\r\n0\r\n\r\n" + hidden,
-        post + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nab" + hidden,
-        post + "Content-Length: 2, 2\r\n\r\nab" + hidden,
-        post + "Content-Length: +2\r\n\r\nab" + hidden,
-        post + "Content-Length: -2\r\n\r\nab" + hidden,
-        post + "Content-Length: 0x2\r\n\r\nab" + hidden,
-        post + "Content-Length: \r\n\r\n" + hidden,
-        post + "Content-Length : 2\r\n\r\nab" + hidden,
+       {post + "Content-Length: 4\r\n" + chunked + "\r\n0\r\n\r\n" + smuggled,
+        post + chunked + "Content-Length: 4\r\n\r\n0\r\n\r\n" + smuggled,
+        post + "Content-Length: 2\r\nContent-Length: 2\r\n\r\nab" + smuggled,
+        post + "Content-Length: 2, 2\r\n\r\nab" + smuggled,
+        post + "Content-Length: +2\r\n\r\nab" + smuggled,
+        post + "Content-Length: -2\r\n\r\nab" + smuggled,
+        post + "Content-Length: 0x2\r\n\r\nab" + smuggled,
+        post + "Content-Length: \r\n\r\n" + smuggled,
+        post + "Content-Length : 2\r\n\r\nab" + smuggled,
         post + "Content-Length: 99999999999999999999\r\n\r\nab",
-        post + coded + coded + "\r\n0\r\n\r\n" + hidden,
-        post + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + hidden,
-        post + "Transfer-Encoding: identity\r\n\r\n" + hidden,
-        post + "X: a\r\n b\r\n\r\n" + hidden,
-        post + "X: a\nY: b\r\n\r\n" + hidden,
-        post + std::string("X: a\0b\r\n\r\n", 10) + hidden,
-        post + "X: a\rb\r\n\r\n" + hidden,
-        post + "no colon\r\n\r\n" + hidden,
-        post + coded + "\r\nzz\r\nab\r\n0\r\n\r\n" + hidden,
+        post + chunked + chunked + "\r\n0\r\n\r\n" + smuggled,
+        post + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + smuggled,
+        post + "Transfer-Encoding: identity\r\n\r\n" + smuggled,
+        post + "X: a\r\n b\r\n\r\n" + smuggled,
+        post + "X: a\nY: b\r\n\r\n" + smuggled,
+        post + std::string("X: a\0b\r\n\r\n", 10) + smuggled,
+        post + "X: a\rb\r\n\r\n" + smuggled,
+        post + "no colon\r\n\r\n" + smuggled,
+        post + chunked + "\r\nzz\r\nab\r\n0\r\n\r\n" + smuggled,
         std::string("GET  /read HTTP/1.1\r\nX-Request-Id: r\r\n\r\n"),
         std::string("GET /read HTTP/2.0\r\nX-Request-Id: r\r\n\r\n"),
-        post + "X-Request-Id: s\r\nContent-Length: 0\r\n\r\n" + hidden,
-        std::string("POST /write HTTP/1.0\r\nX-Request-Id: r\r\n") + coded + "\r\n0\r\n\r\n" +
-            hidden}) {
+        post + "X-Request-Id: s\r\nContent-Length: 0\r\n\r\n" + smuggled,
+        std::string("POST /write HTTP/1.0\r\nX-Request-Id: r\r\n") + chunked + "\r\n0\r\n\r\n" +
+            smuggled}) {
     auto c = client();
     c->send(bad);
     ASSERT_TRUE(until([&] { return c->closed_by_peer; })) << bad;
@@ -567,44 +604,48 @@
   EXPECT_TRUE(c->responses.empty() || c->responses[0].result_int() == 413u);
 }
 
-TEST_F(GatewayTest, SilentConnectionsDoNotDisplaceOthers) {
+TEST_F(GatewayTest, SilentConnectionsDisplaceNeitherIdleNorNewOnes) {
   waits.clients.connections = 8;
   start_with_two_hosts(always_reply(response_text(200, "", "ok")));
-  auto usual = client();
-  usual->send(request_text("read"));
-  ASSERT_TRUE(until([&] { return usual->responses.size() == 1; }));
+  auto idle = client();
+  idle->send(request_text("read"));
+  ASSERT_TRUE(until([&] { return idle->responses.size() == 1; }));
   std::vector<std::shared_ptr<Client>> silent;
   for (int i = 0; i < 40; ++i) {
     silent.push_back(client());
   }
-  EXPECT_EQ(send_request(request_text("read")).result_int(), 200u) << "behind all of them";
-  EXPECT_FALSE(usual->closed_by_peer);
-  usual->send(request_text("read"));
-  EXPECT_TRUE(until([&] { return usual->responses.size() == 2; }));
+  EXPECT_EQ(send_request(request_text("read")).result_int(), 200u)
+      << "accepted after 40 silent connections";
+  EXPECT_FALSE(idle->closed_by_peer);
+  idle->send(request_text("read"));
+  EXPECT_TRUE(until([&] { return idle->responses.size() == 2; }));
 }
 
+// Connections that have sent a request are limited below the limit of all connections, so that
+// clients that keep idle connections do not block new ones.
 TEST_F(GatewayTest, FreesCapacityFromIdleClientsInAdvance) {
-  config["limits"]["sockets"] = 96;  // 38 clients at most, 24 that have asked
+  config["limits"]["sockets"] = 96;  // at most 38 client connections, 24 of them reused
   waits.clients.idle_timeout = std::chrono::minutes(10);
   add_host("a", always_reply(response_text(200, "", "x")));
   start();
-  std::vector<std::shared_ptr<Client>> stay;
-  const auto used = client();
+  std::vector<std::shared_ptr<Client>> idle_clients;
+  const auto active = client();
   for (std::size_t i = 0; i < 30; ++i) {
-    stay.push_back(client());
-    for (const auto& c : {stay.back(), used}) {
+    idle_clients.push_back(client());
+    for (const auto& c : {idle_clients.back(), active}) {
       const std::size_t before = c->responses.size();
       c->send(request_text("read"));
       ASSERT_TRUE(until([&] { return c->responses.size() > before; }));
     }
   }
   EXPECT_TRUE(until([&] {
-    return std::count_if(stay.begin(), stay.end(),
+    return std::count_if(idle_clients.begin(), idle_clients.end(),
                          [](const auto& c) { return c->closed_by_peer; }) == 31 - 24;
   }));
-  EXPECT_TRUE(stay.front()->closed_by_peer);
-  EXPECT_FALSE(stay.back()->closed_by_peer);
-  EXPECT_FALSE(used->closed_by_peer) << "the one that asks again and again is not the longest idle";
+  EXPECT_TRUE(idle_clients.front()->closed_by_peer);
+  EXPECT_FALSE(idle_clients.back()->closed_by_peer);
+  EXPECT_FALSE(active->closed_by_peer)
+      << "it sends requests all the time, so it is never idle longest";
 }
 
 TEST_F(GatewayTest, ClosesIdleClientsForNewConnections) {
@@ -620,7 +661,7 @@
 }
 
 TEST_F(GatewayTest, LimitsUpstreamConnections) {
-  config["limits"]["sockets"] = 64;  // leaves a dozen for hosts
+  config["limits"]["sockets"] = 64;  // leaves 12 connections to hosts
   shorten_class_times(1);
   add_host("a", [](PeerConnection&, std::size_t) {});
   start();
@@ -657,7 +698,7 @@
   }
   discovery.push(
       {{"all", false}, {"targets", {target("s-0", hosts[0]->endpoint, "a", "DRAINING")}}});
-  // The next watch tells that the last answer was taken in.
+  // The next watch shows that the last response has been applied.
   ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   EXPECT_NE(discovery.request_targets.back().find("since=2"), std::string::npos)
       << discovery.request_targets.back();
@@ -679,11 +720,11 @@
   EXPECT_TRUE(hosts[0]->requests.empty());
 }
 
-TEST_F(GatewayTest, AcceptsOutdatedKnownList) {
+TEST_F(GatewayTest, PollsChangesSinceVersionOfKnownList) {
   start_with_two_hosts(always_reply(response_text(200, "", "ok")));
   EXPECT_TRUE(until([&] { return !discovery.request_targets.empty(); }));
   EXPECT_NE(discovery.request_targets[0].find("since=1&"), std::string::npos)
-      << "what it missed is asked for at once";
+      << "changes since the known version are requested at once";
 }
 
 TEST_F(GatewayTest, PollsSnapshotWithoutKnownList) {
@@ -699,7 +740,7 @@
   EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
 }
 
-TEST_F(GatewayTest, BalancerRestartsFailedWatch) {
+TEST_F(GatewayTest, RestartsFailedWatch) {
   discovery.failing = true;
   start_with_two_hosts(always_reply(response_text(200, "", "ok")));
   ASSERT_TRUE(until([&] { return !discovery.request_targets.empty(); }));
@@ -711,7 +752,7 @@
   EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
 }
 
-TEST_F(GatewayTest, TreatsSilentWatchAsFailed) {
+TEST_F(GatewayTest, SendsSecondPollWhenFirstIsOverdue) {
   waits.discovery.answer = waits.discovery.at_once = std::chrono::milliseconds(20);
   discovery.peer.script = [&](PeerConnection& c) {
     discovery.request_targets.push_back(c.request.target().to_string());
@@ -720,11 +761,12 @@
   EXPECT_TRUE(until([&] { return discovery.request_targets.size() == 2; }));
 }
 
-// A change during a silent watch must be known soon after, and so must the late response to it.
-TEST_F(GatewayTest, ReopensSilentWatchAndStillReadsOldOne) {
+// A watch without a response is overdue after its timeout. A new one then begins soon, so that no
+// change is missed for long, and the late response to the old one still applies.
+TEST_F(GatewayTest, ReopensOverdueWatchAndStillReadsOldOne) {
   waits.discovery.watch = waits.discovery.answer = std::chrono::milliseconds(60);
   std::vector<std::shared_ptr<PeerConnection>> calls;
-  const auto answer = [](int version, const json& changed) {
+  const auto list = [](int version, const json& changed) {
     return response_text(200, "",
                          json{{"rev", version}, {"all", false}, {"targets", changed}}.dump());
   };
@@ -732,16 +774,16 @@
     calls.push_back(c.shared_from_this());
     discovery.request_targets.push_back(c.request.target().to_string());
     if (calls.size() % 2 == 1) {
-      c.reply(answer(1, json::array()));  // the first call of a watch
+      c.reply(list(1, json::array()));  // the first call of a watch
     }
   };
   start_with_two_hosts(always_reply(response_text(200, "", "ok")));
-  const auto began = std::chrono::steady_clock::now();
+  const auto began_at = std::chrono::steady_clock::now();
   ASSERT_TRUE(until([&] { return calls.size() == 4; }));
-  EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::milliseconds(450))
-      << "a failure waits longer";
+  EXPECT_LT(std::chrono::steady_clock::now() - began_at, std::chrono::milliseconds(450))
+      << "without the pause that follows a failed call";
   EXPECT_FALSE(calls[1]->closed_by_peer);
-  calls[1]->reply(answer(2, {target("s-0", hosts[0]->endpoint, "a", "DRAINING")}));
+  calls[1]->reply(list(2, {target("s-0", hosts[0]->endpoint, "a", "DRAINING")}));
   ASSERT_TRUE(until([&] { return calls[1]->closed_by_peer; }));
   for (int i = 0; i < 8; ++i) {
     EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
@@ -750,10 +792,11 @@
             std::set<std::string>{"s-1"});
 }
 
-// A response that is being written must be read: if the call were aborted now, the gateway would
-// not know of the drain in it.
+// The response takes 2.05 s, less than the 2.1 s after which a call is overdue. Discovery counts a
+// response as received once it is written: if the gateway aborted the call earlier, it would never
+// learn of the drain in it.
 TEST_F(GatewayTest, AcceptsSlowDiscoveryResponse) {
-  asio::steady_timer later(io, std::chrono::milliseconds(2050));
+  asio::steady_timer response_timer(io, std::chrono::milliseconds(2050));
   std::shared_ptr<PeerConnection> first;
   discovery.peer.script = [&](PeerConnection& c) {
     discovery.request_targets.push_back(c.request.target().to_string());
@@ -763,12 +806,12 @@
       discovery.pending_watches.push_back(c.shared_from_this());
     }
   };
-  later.async_wait([&](boost::system::error_code) {
-    const json drains{{"rev", 2},
-                      {"all", false},
-                      {"targets", {target("s-0", hosts[0]->endpoint, "a", "DRAINING")}}};
+  response_timer.async_wait([&](boost::system::error_code) {
+    const json changes{{"rev", 2},
+                       {"all", false},
+                       {"targets", {target("s-0", hosts[0]->endpoint, "a", "DRAINING")}}};
     if (first) {
-      first->reply(response_text(200, "", drains.dump()));
+      first->reply(response_text(200, "", changes.dump()));
     }
   });
   start_with_two_hosts(always_reply(response_text(200, "", "ok")));
@@ -794,25 +837,25 @@
     }
   });
   start();
-  auto taken = client();
+  auto active = client();
   auto idle = client();
-  taken->send(request_text("write"));
+  active->send(request_text("write"));
   ASSERT_TRUE(until([&] { return pending != nullptr; }));
   bool done = false;
   gateway->stop([&] { done = true; });
   auto late = client();
   late->send(request_text("read"));
   ASSERT_TRUE(until([&] { return !late->responses.empty(); }))
-      << "connections are taken for a while yet";
+      << "connections are accepted for kStopAcceptingDelay after the stop";
   EXPECT_EQ(late->responses[0].body(), "new");
   EXPECT_FALSE(late->responses[0].keep_alive());
   EXPECT_TRUE(until([&] { return idle->closed_by_peer && late->closed_by_peer; }));
   EXPECT_FALSE(done);
   pending->reply(response_text(200, "", "kept"));
   ASSERT_TRUE(until([&] { return done; }));
-  EXPECT_TRUE(until([&] { return !taken->responses.empty(); }));
-  EXPECT_EQ(taken->responses[0].body(), "kept");
-  EXPECT_FALSE(taken->responses[0].keep_alive());
+  EXPECT_TRUE(until([&] { return !active->responses.empty(); }));
+  EXPECT_EQ(active->responses[0].body(), "kept");
+  EXPECT_FALSE(active->responses[0].keep_alive());
 }
 
 // --- Operators ---
@@ -829,7 +872,8 @@
   discovery.push({{"all", true}, {"targets", discovery.list}});
   ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   gateway->set_maintenance("s-1", true);
-  EXPECT_EQ(send_request(request_text("read")).result_int(), 503u) << "whatever the list says";
+  EXPECT_EQ(send_request(request_text("read")).result_int(), 503u)
+      << "a new endpoint list does not end maintenance";
   attempted_hosts.clear();
   gateway->set_maintenance("s-1", false);
   ASSERT_TRUE(until([&] { return send_request(request_text("read")).result_int() == 200u; }));
@@ -838,7 +882,7 @@
 
 TEST_F(GatewayTest, ReroutesUnsentAttemptWhenMaintenanceBegins) {
   start_with_two_hosts(always_reply(response_text(200, "", "x")));
-  // A listener whose queue is full answers no further connection.
+  // A host that accepts no connection, as the queue of its listening socket is full.
   tcp::acceptor full(io, loopback());
   full.listen(0);
   std::vector<std::unique_ptr<tcp::socket>> queue;
@@ -868,7 +912,8 @@
   start_with_two_hosts(always_reply(response_text(200, "", "x")));
   std::set<std::string> listed;
   gateway->on_endpoint_listed([&](const std::string& uid) { listed.insert(uid); });
-  EXPECT_EQ(listed, (std::set<std::string>{"s-0", "s-1"})) << "by the list from the start";
+  EXPECT_EQ(listed, (std::set<std::string>{"s-0", "s-1"}))
+      << "hosts listed before are reported at once";
   ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
   discovery.push({{"all", false}, {"targets", {target("s-9", hosts[0]->endpoint)}}});
   EXPECT_TRUE(until([&] { return listed.count("s-9") == 1; }));
@@ -927,11 +972,11 @@
 
 TEST_F(GatewayTest, TwoGatewaysShareListeningSocket) {
   add_host("a", always_reply(response_text(200, "", "x")));
-  tcp::acceptor platform(io, loopback());
+  tcp::acceptor shared_socket(io, loopback());
   const auto copy_of = [&] {
-    return dup(platform.native_handle());
+    return dup(shared_socket.native_handle());
   };
-  config["listen"] = text_of(platform.local_endpoint());
+  config["listen"] = text_of(shared_socket.local_endpoint());
   config["discovery"] = text_of(discovery.peer.endpoint);
   config["known"] = {{"rev", 1}, {"all", true}, {"targets", discovery.list}};
   const auto make = [&] {
@@ -942,7 +987,7 @@
     return std::make_unique<Gateway>(io, c, waits, [](const std::string&) {});
   };
   gateway = make();
-  EXPECT_FALSE(gateway->is_available()) << "not before discovery has answered";
+  EXPECT_FALSE(gateway->is_available()) << "not before discovery has sent an endpoint list";
   ASSERT_TRUE(until([&] { return gateway->is_available(); }));
   EXPECT_EQ(send_request(request_text("read")).result_int(), 200u);
   auto next = make();
@@ -952,17 +997,19 @@
   ASSERT_TRUE(until([&] { return done; }));
   gateway.swap(next);
   next.reset();
-  platform.non_blocking(false);  // the flag is shared: a gateway must not hang on it
-  EXPECT_EQ(send_request(request_text("read")).result_int(), 200u) << "the socket still listens";
-  EXPECT_TRUE(platform.is_open());
+  // The flag belongs to the shared socket: an accept must not block the gateway's event loop.
+  shared_socket.non_blocking(false);
+  EXPECT_EQ(send_request(request_text("read")).result_int(), 200u)
+      << "the end of the first gateway does not close the shared socket";
+  EXPECT_TRUE(shared_socket.is_open());
 }
 
 TEST_F(GatewayTest, LeavesWaitingConnectionsOfSharedSocketToNextProcess) {
   add_host("a", always_reply(response_text(200, "", "x")));
-  tcp::acceptor platform(io, loopback());
-  config["listen"] = text_of(platform.local_endpoint());
+  tcp::acceptor shared_socket(io, loopback());
+  config["listen"] = text_of(shared_socket.local_endpoint());
   config["discovery"] = text_of(discovery.peer.endpoint);
-  const std::string socket = std::to_string(dup(platform.native_handle()));
+  const std::string socket = std::to_string(dup(shared_socket.native_handle()));
   const config::Config c = config::parse_config(config, [&](const char* name) {
     return name == std::string("GW_PASSED_SOCKET") ? socket.c_str() : nullptr;
   });
@@ -971,12 +1018,12 @@
   bool done = false;
   gateway->stop([&] { done = true; });
   ASSERT_TRUE(until([&] { return done; }));
-  auto waiting = Client::connect(io, platform.local_endpoint());
+  auto waiting = Client::connect(io, shared_socket.local_endpoint());
   waiting->send(request_text("read"));
-  platform.non_blocking(true);
-  bool taken = false;
-  platform.async_accept([&](error_code ec, tcp::socket) { taken = !ec; });
-  EXPECT_TRUE(until([&] { return taken; }));
+  shared_socket.non_blocking(true);
+  bool accepted = false;
+  shared_socket.async_accept([&](error_code ec, tcp::socket) { accepted = !ec; });
+  EXPECT_TRUE(until([&] { return accepted; }));
 }
 
 // --- Retained state ---
@@ -986,7 +1033,7 @@
   start();
   for (int i = 0; i < 20; ++i) {
     ASSERT_TRUE(until([&] { return discovery.pending_watches.size() == 1; }));
-    // Each new one at the address of one that is gone, under an id of its own.
+    // Each new host has the address of a removed one, and a uid of its own.
     const std::string uid = "s-new-" + std::to_string(i);
     discovery.push({{"all", false}, {"targets", {target(uid, hosts[0]->endpoint)}}});
     ASSERT_TRUE(until([&] { return gateway->hosts() == 2; }));
@@ -1022,11 +1069,11 @@
   std::shared_ptr<PeerConnection> pending;
   add_host("a", [&](PeerConnection& c, std::size_t) { pending = c.shared_from_this(); });
   start();
-  const std::string one = request_text("write");
+  const std::string request = request_text("write");
   auto c = client();
-  c->send(one);
+  c->send(request);
   ASSERT_TRUE(until([&] { return pending != nullptr; }));
-  EXPECT_EQ(send_request(one).result_int(), 409u);
+  EXPECT_EQ(send_request(request).result_int(), 409u);
   pending->reply(response_text(200, "", "first"));
   ASSERT_TRUE(until([&] { return c->responses.size() == 1; }));
   EXPECT_EQ(c->responses[0].body(), "first");
@@ -1034,7 +1081,9 @@
   EXPECT_EQ(gateway->active_requests(), 0u);
 }
 
-TEST_F(GatewayTest, DoesNotRetryBadRequestOrBlameHost) {
+// Status 400 is a fault of the request, not of the host: counted as failures, 20 of them would
+// eject the hosts.
+TEST_F(GatewayTest, NeitherRetriesNorEjectsHostOnStatus400) {
   start_with_two_hosts(
       [](PeerConnection& c, std::size_t n) { c.reply(response_text(n < 20 ? 400 : 200, "", "")); });
   for (std::size_t i = 1; i <= 20; ++i) {
@@ -1050,7 +1099,7 @@
   add_host("a", always_reply(response_text(200, "", "old")));
   start();
   ASSERT_TRUE(until([&] { return !discovery.pending_watches.empty(); }));
-  FakeDiscovery other(io);  // counts its versions from the start
+  FakeDiscovery other(io);  // has a version sequence of its own
   Peer newcomer(io, [](PeerConnection& c) { c.reply(response_text(200, "", "new")); });
   other.list.push_back(target("s-new", newcomer.endpoint));
   other.version = 0;
@@ -1060,10 +1109,9 @@
   ASSERT_TRUE(until([&] { return !other.request_targets.empty(); }));
   EXPECT_EQ(send_request(request_text("write")).body(), "old");
   other.failing = false;
-  ASSERT_TRUE(until([&] { return !other.pending_watches.empty(); }))
-      << "the whole list, then a watch";
+  ASSERT_TRUE(until([&] { return !other.pending_watches.empty(); })) << "a snapshot, then a watch";
   EXPECT_TRUE(until([&] { return discovery.pending_watches.front()->closed_by_peer; }))
-      << "the old one is left";
+      << "the watch on the old server is closed";
   EXPECT_EQ(send_request(request_text("write")).body(), "new");
 }
 
@@ -1077,10 +1125,12 @@
   ASSERT_TRUE(until([&] { return silent.requests.size() == 1; }));
   discovery.pending_watches.front()->close();
   EXPECT_EQ(send_request(request_text("write")).body(), "old");
-  EXPECT_EQ(silent.requests.size(), 1u) << "the call under way is not given up for it";
+  EXPECT_EQ(silent.requests.size(), 1u)
+      << "the end of the old watch does not abort the call in progress";
   silent.connections.front()->reply(
       response_text(200, "", json{{"rev", 7}, {"all", true}, {"targets", discovery.list}}.dump()));
-  EXPECT_TRUE(until([&] { return silent.requests.size() == 2; })) << "and its watch begins";
+  EXPECT_TRUE(until([&] { return silent.requests.size() == 2; }))
+      << "a watch on the new server begins";
 }
 
 }  // namespace
