--- a/tests/gateway/stream_test.cpp
+++ b/tests/gateway/stream_test.cpp
@@ -1,27 +1,29 @@
-// Bodies and answers of any size and pace, and all forms of framing, on real loopback sockets.
+// Streamed request and response bodies on real loopback sockets: sizes, backpressure, framing,
+// disconnects and input in small parts.
 #include "http/body_stream.hpp"
 #include "support/gateway_fixture.hpp"
 
 namespace gateway::testing {
 namespace {
 
-// One end of a connection that exposes the raw bytes and reads only while reading is enabled.
-class Raw : public std::enable_shared_from_this<Raw> {
+// One end of a connection: records the bytes that it receives, and stops reading while paused.
+// Kept alive by its pending operations.
+class RawConnection : public std::enable_shared_from_this<RawConnection> {
  public:
-  explicit Raw(tcp::socket socket) : socket_(std::move(socket)) {}
-  static std::shared_ptr<Raw> connect(asio::io_context& io, const tcp::endpoint& to) {
+  explicit RawConnection(tcp::socket socket) : socket_(std::move(socket)) {}
+  static std::shared_ptr<RawConnection> connect(asio::io_context& io, const tcp::endpoint& to) {
     tcp::socket socket(io);
     socket.connect(to);
-    auto raw = std::make_shared<Raw>(std::move(socket));
+    auto raw = std::make_shared<RawConnection>(std::move(socket));
     raw->read();
     return raw;
   }
   void send(const std::string& text) {
     auto buffer = std::make_shared<std::string>(text);
-    pending += text.size();
+    unsent += text.size();
     asio::async_write(
         socket_, asio::buffer(*buffer),
-        [self = shared_from_this(), buffer](error_code, std::size_t n) { self->pending -= n; });
+        [self = shared_from_this(), buffer](error_code, std::size_t n) { self->unsent -= n; });
   }
   void read() {
     socket_.async_read_some(asio::buffer(piece_),
@@ -43,9 +45,11 @@
     }
   }
   void close() { socket_.close(); }
+  // All that was received after the first head, with its framing; empty before the head's end.
   std::string body() const {
     return received.substr(std::min(received.find("\r\n\r\n") + 4, received.size()));
   }
+  // Size of body() without a copy of it.
   std::size_t body_size() const {
     if (!head_size_) {
       const std::size_t end = received.find("\r\n\r\n");
@@ -59,7 +63,9 @@
   bool has(const std::string& text) const { return received.find(text) != std::string::npos; }
 
   std::string received;
-  std::size_t pending = 0;
+  std::size_t unsent = 0;  // bytes passed to send() and not written yet
+  // `closed`: the peer has closed the connection. `paused`: set by the test, no read follows the
+  // current one. `stopped`: no read is pending, as the connection is paused.
   bool closed = false, paused = false, stopped = false;
 
  private:
@@ -68,13 +74,14 @@
   mutable std::size_t head_size_ = 0;
 };
 
-class RawHost {  // accepts and reads; the test says what is sent
+// A host that accepts connections and reads. The test sends the responses.
+class RawHost {
  public:
   explicit RawHost(asio::io_context& io)
       : acceptor_(io, loopback()), endpoint(acceptor_.local_endpoint()) {
     accept();
   }
-  std::vector<std::shared_ptr<Raw>> connections;
+  std::vector<std::shared_ptr<RawConnection>> connections;
 
  private:
   void accept() {
@@ -82,7 +89,7 @@
       if (ec) {
         return;
       }
-      connections.push_back(std::make_shared<Raw>(std::move(socket)));
+      connections.push_back(std::make_shared<RawConnection>(std::move(socket)));
       connections.back()->read();
       accept();
     });
@@ -93,6 +100,7 @@
   tcp::endpoint endpoint;
 };
 
+// A body in which lost, repeated or swapped parts show.
 std::string pattern(std::size_t size) {
   std::string text(size, ' ');
   for (std::size_t i = 0; i < size; ++i) {
@@ -105,24 +113,29 @@
  protected:
   std::unique_ptr<RawHost> host;
 
-  void raw_host() {
+  // Starts the gateway with one host, a RawHost.
+  void start_with_raw_host() {
     host = std::make_unique<RawHost>(io);
     discovery.list.push_back(target("s-raw", host->endpoint));
     start();
   }
-  std::shared_ptr<Raw> raw() { return Raw::connect(io, gateway->local_endpoint()); }
-  std::string head_of(const std::string& kind, const std::string& headers) {
-    return "POST /" + kind + " HTTP/1.1\r\nX-Request-Id: q" + std::to_string(++serial) + "\r\n" +
-           headers + "\r\n";
+  // A client's connection to the gateway.
+  std::shared_ptr<RawConnection> raw_client() {
+    return RawConnection::connect(io, gateway->local_endpoint());
   }
-  // A client that sent a fifth of its body.
-  std::shared_ptr<Raw> begun_upload() {
-    auto c = raw();
+  // The head of a POST request of a class, with an id of its own; `headers` are whole lines.
+  std::string head_of(const std::string& class_name, const std::string& headers) {
+    return "POST /" + class_name + " HTTP/1.1\r\nX-Request-Id: q" + std::to_string(++serial) +
+           "\r\n" + headers + "\r\n";
+  }
+  // A client that has sent a fifth of its body.
+  std::shared_ptr<RawConnection> begun_upload() {
+    auto c = raw_client();
     c->send(head_of("write", "Content-Length: 500000\r\n") + std::string(100'000, 'x'));
     return c;
   }
-  // The host's connection, once a complete head has arrived on it.
-  std::shared_ptr<Raw> asked(std::size_t number = 0) {
+  // The host's connection of this number, once a complete request head has arrived on it.
+  std::shared_ptr<RawConnection> connection_with_request(std::size_t number = 0) {
     EXPECT_TRUE(until([&] {
       return host->connections.size() > number && host->connections[number]->has("\r\n\r\n");
     }));
@@ -133,11 +146,11 @@
 // --- Bodies ---
 
 TEST_F(StreamTest, StreamsLongRequestBody) {
-  raw_host();
+  start_with_raw_host();
   const std::string body = pattern(1'000'000);
-  auto c = raw();
+  auto c = raw_client();
   c->send(head_of("write", "Content-Length: 1000000\r\n") + body.substr(0, 200'000));
-  auto h = asked();
+  auto h = connection_with_request();
   ASSERT_TRUE(until([&] { return h->body_size() == 200'000; }));
   EXPECT_TRUE(h->has("Content-Length: 1000000\r\n"));
   c->send(body.substr(200'000));
@@ -146,15 +159,15 @@
   h->send(response_text(200, "", "done"));
   ASSERT_TRUE(until([&] { return c->has("done"); }));
   c->send(request_text("read"));
-  ASSERT_TRUE(until([&] { return h->has("GET /read"); })) << "both connections are kept";
+  ASSERT_TRUE(until([&] { return h->has("GET /read"); })) << "both connections stay open";
 }
 
 TEST_F(StreamTest, StreamsThirtyTwoMegabytesEachWay) {
-  raw_host();
+  start_with_raw_host();
   const std::string body = pattern(http::kBodyLimit);
-  auto c = raw();
+  auto c = raw_client();
   c->send(head_of("write", "Content-Length: " + std::to_string(body.size()) + "\r\n") + body);
-  auto h = asked();
+  auto h = connection_with_request();
   ASSERT_TRUE(until([&] { return h->body_size() == body.size(); }));
   EXPECT_TRUE(h->body() == body);
   h->send(response_text(200, "", body));
@@ -163,8 +176,8 @@
 }
 
 TEST_F(StreamTest, KeepsLongBodyChunkedAndDropsTrailers) {
-  raw_host();
-  auto c = raw();
+  start_with_raw_host();
+  auto c = raw_client();
   std::string body;
   std::string sent = head_of("write", "Transfer-Encoding: chunked\r\n");
   for (int i = 0; i < 40; ++i) {
@@ -173,7 +186,7 @@
     sent += "1388;ext=1\r\n" + piece + "\r\n";
   }
   c->send(sent + "0\r\nX-Class: read\r\n\r\n");
-  auto h = asked();
+  auto h = connection_with_request();
   ASSERT_TRUE(until([&] { return h->has("\r\n0\r\n\r\n"); }));
   EXPECT_TRUE(h->has("Transfer-Encoding: chunked\r\n"));
   EXPECT_FALSE(h->has("X-Class: read"));
@@ -200,59 +213,67 @@
 }
 
 TEST_F(StreamTest, SlowHostSlowsClientWithBoundedMemory) {
-  raw_host();
-  auto c = raw();
+  start_with_raw_host();
+  auto c = raw_client();
   c->send(head_of("write", "Content-Length: 32000000\r\n"));
   c->send(std::string(100'000, 'x'));
-  auto h = asked();
+  auto h = connection_with_request();
   h->paused = true;
   c->send(std::string(31'900'000, 'x'));
-  std::size_t pending = 0;
-  std::size_t same = 0;  // nothing moves any more
+  std::size_t last_unsent = 0;
+  std::size_t checks_without_progress = 0;
   ASSERT_TRUE(until([&] {
-    same = c->pending == std::exchange(pending, c->pending) && h->stopped ? same + 1 : 0;
-    return same > 20;
+    checks_without_progress = c->unsent == std::exchange(last_unsent, c->unsent) && h->stopped
+                                  ? checks_without_progress + 1
+                                  : 0;
+    return checks_without_progress > 20;
   }));
-  EXPECT_GT(c->pending, 0u) << "the client waits with the rest";
+  EXPECT_GT(c->unsent, 0u) << "the gateway does not read the whole body ahead of the host";
   h->resume();
   ASSERT_TRUE(until([&] { return h->body_size() == 32'000'000; }));
 }
 
-TEST_F(StreamTest, RetriesBufferedBodyAndRejectsConsumedOne) {
+TEST_F(StreamTest, RetriesBufferedBodyButNotConsumedOne) {
   host = std::make_unique<RawHost>(io);
   discovery.list.push_back(target("s-raw", host->endpoint));
   {
-    tcp::acceptor gone(io, loopback());
-    discovery.list.push_back(target("s-gone", gone.local_endpoint()));
+    tcp::acceptor closed_acceptor(io, loopback());
+    discovery.list.push_back(target("s-gone", closed_acceptor.local_endpoint()));
   }
   start();
   for (std::size_t i = 0; i < 3; ++i) {
-    auto c = raw();
+    auto c = raw_client();
     c->send(head_of("write", "Content-Length: 100000\r\n") + std::string(70'000, 'x'));
-    auto h = asked(i);  // whichever was tried first
+    // Also if s-gone was tried first: the buffered beginning of the body can be sent again.
+    auto h = connection_with_request(i);
     ASSERT_TRUE(until([&] { return h->body_size() == 70'000; }));
     h->close();
     ASSERT_TRUE(until([&] { return c->has("\r\n\r\n"); }));
-    EXPECT_TRUE(c->has("503")) << "it never ran, and asking again is harmless";
-    EXPECT_TRUE(until([&] { return c->closed; })) << "its rest is not taken for a request";
-    EXPECT_EQ(host->connections.size(), i + 1) << "it is not sent again";
+    EXPECT_TRUE(c->has("503"))
+        << "the body was incomplete, so the request was not executed: rejected, and the client "
+           "may retry";
+    EXPECT_TRUE(until([&] { return c->closed; }))
+        << "the rest of the body is not read as a request";
+    EXPECT_EQ(host->connections.size(), i + 1) << "a consumed body is not sent again";
   }
 }
 
-TEST_F(StreamTest, HostMayRejectIncompleteBody) {
-  raw_host();
+TEST_F(StreamTest, ForwardsRejectionBeforeBodyIsComplete) {
+  start_with_raw_host();
   auto c = begun_upload();
-  auto h = asked();
+  auto h = connection_with_request();
   h->send(response_text(503, "X-Not-Run: 1\r\n", ""));
   ASSERT_TRUE(until([&] { return c->has("503"); }));
   EXPECT_TRUE(until([&] { return h->closed; }));
 }
 
-TEST_F(StreamTest, RespondsToClientSilentWithinBody) {
+// The client must learn that its request failed, and neither its connection nor the host's may stay
+// open.
+TEST_F(StreamTest, RespondsWith408ToClientSilentWithinBody) {
   waits.clients.request_timeout = std::chrono::milliseconds(100);
-  raw_host();
+  start_with_raw_host();
   auto c = begun_upload();
-  auto h = asked();
+  auto h = connection_with_request();
   ASSERT_TRUE(until([&] { return c->closed; }));
   EXPECT_TRUE(c->has("408"));
   EXPECT_TRUE(until([&] { return h->closed; }));
@@ -260,26 +281,27 @@
 }
 
 TEST_F(StreamTest, EndsAttemptWhenClientDisconnectsWithinBody) {
-  raw_host();
+  start_with_raw_host();
   auto c = begun_upload();
-  auto h = asked();
+  auto h = connection_with_request();
   c->close();
   EXPECT_TRUE(until([&] { return h->closed && gateway->active_requests() == 0; }));
 }
 
+// An attempt whose body can no longer be completed ends even with cancellation disabled.
 TEST_F(StreamTest, EndsAttemptWithIncompleteBodyWithoutCancellation) {
   config["settings"]["ceilings"]["cancel"] = false;
-  raw_host();
+  start_with_raw_host();
   auto c = begun_upload();
-  auto h = asked();
+  auto h = connection_with_request();
   c->close();
   EXPECT_TRUE(until([&] { return h->closed && gateway->active_requests() == 0; }));
 }
 
-TEST_F(StreamTest, DoesNotCloseConnectionWithFirstRequestOnItsWay) {
+TEST_F(StreamTest, DoesNotCloseConnectionWithIncompleteFirstRequest) {
   add_host("a", always_reply(response_text(200, "", "done")));
   start();
-  auto c = raw();
+  auto c = raw_client();
   c->send(head_of("write", "Content-Length: 4\r\nExpect: 100-continue\r\n"));
   ASSERT_TRUE(until([&] { return c->has("100 Continue"); }));
   auto silent = client();
@@ -290,29 +312,30 @@
   EXPECT_TRUE(until([&] { return c->has("done"); }));
 }
 
-TEST_F(StreamTest, RejectsTooLargeBodyAsSoonAsKnown) {
-  raw_host();
-  auto c = raw();
+TEST_F(StreamTest, RejectsOversizedBodyBeforeItsEnd) {
+  start_with_raw_host();
+  auto c = raw_client();
   c->send(head_of("write", "Content-Length: 60000000\r\n"));
   ASSERT_TRUE(until([&] { return c->has("413"); }));
-  auto chunked = raw();
+  auto chunked = raw_client();
   std::string sent = head_of("write", "Transfer-Encoding: chunked\r\n");
   for (int i = 0; i < 33; ++i) {
     sent += "100000\r\n" + std::string(1 << 20, 'x') + "\r\n";
   }
   chunked->send(sent);
   ASSERT_TRUE(until([&] { return chunked->has("413"); }));
-  auto h = asked();
+  auto h = connection_with_request();
   EXPECT_TRUE(until([&] { return h->closed; }))
-      << "the host has not got all of it, and it never runs";
+      << "the host does not receive the whole body, so it does not execute the request";
 }
 
-TEST_F(StreamTest, StreamsBodyUnbufferedWithoutMemory) {
+// Without memory for buffered bodies, even a short body is streamed.
+TEST_F(StreamTest, StreamsShortBodyWithoutBufferMemory) {
   waits.clients.body_bytes = 1;
-  raw_host();
-  auto c = raw();
+  start_with_raw_host();
+  auto c = raw_client();
   c->send(head_of("write", "Content-Length: 20\r\n") + "0123456789");
-  auto h = asked();
+  auto h = connection_with_request();
   ASSERT_TRUE(until([&] { return h->body() == "0123456789"; }));
   c->send("0123456789");
   ASSERT_TRUE(until([&] { return h->body_size() == 20; }));
@@ -320,44 +343,46 @@
   EXPECT_TRUE(until([&] { return c->has("done"); }));
 }
 
-// --- Answers ---
+// --- Responses ---
 
 TEST_F(StreamTest, StreamsLongResponseAndAbortsIncompleteOne) {
-  raw_host();
-  auto c = raw();
+  start_with_raw_host();
+  auto c = raw_client();
   c->send(request_text("read"));
-  auto h = asked();
+  auto h = connection_with_request();
   h->send("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\nX-Load: TEXT util=0.5\r\n\r\n" +
           pattern(100));
   ASSERT_TRUE(until([&] { return c->body() == pattern(100); }));
   EXPECT_FALSE(c->has("X-Load"));
   EXPECT_TRUE(c->has("Content-Length: 200000\r\n"));
   h->close();
-  ASSERT_TRUE(until([&] { return c->closed; })) << "so the client can tell";
+  ASSERT_TRUE(until([&] { return c->closed; }))
+      << "the client must see that the response is incomplete";
   EXPECT_EQ(c->body(), pattern(100));
-  EXPECT_EQ(host->connections.size(), 1u) << "an answer begun is never replaced";
+  EXPECT_EQ(host->connections.size(), 1u) << "no retry once a part of the response was forwarded";
 }
 
 TEST_F(StreamTest, ChunksResponseOfUnknownLength) {
-  raw_host();
-  auto c = raw();
+  start_with_raw_host();
+  auto c = raw_client();
   c->send(request_text("read"));
-  auto h = asked();
+  auto h = connection_with_request();
   h->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
-  ASSERT_TRUE(until([&] { return c->has("abc"); })) << "before the rest is there";
+  ASSERT_TRUE(until([&] { return c->has("abc"); })) << "forwarded before the rest has arrived";
   h->send("2\r\nde\r\n0\r\nX-Sum: 1\r\n\r\n");
   ASSERT_TRUE(until([&] { return c->has("0\r\n\r\n"); }));
   EXPECT_FALSE(c->has("X-Sum"));
   c->send(request_text("read"));
   ASSERT_TRUE(until([&] { return h->received.rfind("GET /read") > 10; }))
-      << "both connections are kept";
+      << "both connections stay open";
 }
 
+// A last chunk would make an incomplete response look complete.
 TEST_F(StreamTest, AbortedChunkedResponseHasNoLastChunk) {
-  raw_host();
-  auto c = raw();
+  start_with_raw_host();
+  auto c = raw_client();
   c->send(request_text("read"));
-  auto h = asked();
+  auto h = connection_with_request();
   h->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
   ASSERT_TRUE(until([&] { return c->has("abc"); }));
   h->send("zz\r\n");
@@ -365,7 +390,7 @@
   EXPECT_FALSE(c->has("0\r\n\r\n"));
 }
 
-TEST_F(StreamTest, ServesResponseEndedByConnection) {
+TEST_F(StreamTest, ForwardsResponseEndedByConnectionClose) {
   add_host("a", [](PeerConnection& c, std::size_t) {
     c.reply("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nwhole", true);
   });
@@ -374,19 +399,19 @@
   for (std::size_t i = 0; i < 3; ++i) {
     c->send(request_text("read"));
     ASSERT_TRUE(until([&] { return c->responses.size() == i + 1; }))
-        << "the client's connection is kept";
+        << "the client's connection stays open";
     EXPECT_EQ(c->responses[i].body(), "whole");
   }
 }
 
-TEST_F(StreamTest, StreamsResponseEndedByConnectionToHttp10AndHttp11) {
+TEST_F(StreamTest, StreamsResponseEndedByConnectionCloseToHttp10AndHttp11) {
   const std::string body = pattern(200'000);
   add_host("a", [&](PeerConnection& c, std::size_t) {
     c.reply("HTTP/1.0 200 OK\r\n\r\n" + body, true);
   });
   start();
   EXPECT_EQ(send_request(request_text("read")).body(), body);
-  auto old = raw();
+  auto old = raw_client();
   old->send("GET /read HTTP/1.0\r\nX-Request-Id: old\r\n\r\n");
   ASSERT_TRUE(until([&] { return old->closed; }));
   EXPECT_TRUE(old->body() == body);
@@ -394,20 +419,22 @@
 }
 
 TEST_F(StreamTest, SlowClientSlowsHostAndIsServed) {
-  raw_host();
-  auto c = raw();
+  start_with_raw_host();
+  auto c = raw_client();
   c->paused = true;
   c->send(request_text("read"));
-  auto h = asked();
+  auto h = connection_with_request();
   const std::string body = pattern(20'000'000);
   h->send(response_text(200, "", body));
-  std::size_t pending = 0;
-  std::size_t same = 0;
+  std::size_t last_unsent = 0;
+  std::size_t checks_without_progress = 0;
   ASSERT_TRUE(until([&] {
-    same = h->pending == std::exchange(pending, h->pending) && c->stopped ? same + 1 : 0;
-    return same > 20;
+    checks_without_progress = h->unsent == std::exchange(last_unsent, h->unsent) && c->stopped
+                                  ? checks_without_progress + 1
+                                  : 0;
+    return checks_without_progress > 20;
   }));
-  EXPECT_GT(h->pending, 0u) << "the host waits with the rest";
+  EXPECT_GT(h->unsent, 0u) << "the gateway does not read the whole body ahead of the client";
   c->resume();
   ASSERT_TRUE(until([&] { return c->body_size() == body.size(); }));
   EXPECT_TRUE(c->body() == body);
@@ -415,78 +442,78 @@
 
 TEST_F(StreamTest, DisconnectsClientThatStopsReading) {
   waits.clients.response_stall_timeout = std::chrono::milliseconds(100);
-  raw_host();
-  auto c = raw();
+  start_with_raw_host();
+  auto c = raw_client();
   c->paused = true;
   c->send(request_text("read"));
-  auto h = asked();
+  auto h = connection_with_request();
   h->send(response_text(200, "", std::string(20'000'000, 'x')));
   EXPECT_TRUE(until([&] { return h->closed; }));
   EXPECT_TRUE(until([&] { return gateway->connections() == 0; }));
 }
 
 TEST_F(StreamTest, EndsResponseWhenClientDisconnects) {
-  raw_host();
-  auto c = raw();
+  start_with_raw_host();
+  auto c = raw_client();
   c->send(request_text("read"));
-  auto h = asked();
+  auto h = connection_with_request();
   h->send("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nabc");
   ASSERT_TRUE(until([&] { return c->has("abc"); }));
   c->close();
   EXPECT_TRUE(until([&] { return h->closed; }));
 }
 
-TEST_F(StreamTest, AnswersHeadRequestWithoutBody) {
-  raw_host();
-  auto c = raw();
+TEST_F(StreamTest, RespondsToHeadRequestWithoutBody) {
+  start_with_raw_host();
+  auto c = raw_client();
   c->send("HEAD /read HTTP/1.1\r\nX-Request-Id: h1\r\n\r\n");
-  auto h = asked();
+  auto h = connection_with_request();
   EXPECT_TRUE(h->has("HEAD /read"));
   h->send("HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n");
   ASSERT_TRUE(until([&] { return c->has("Content-Length: 5000000\r\n"); }));
   c->send("HEAD /up HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(until([&] { return c->received.rfind("HTTP/1.1 200") > 10; }))
-      << "and the next one follows";
+      << "the response to the next request follows the head";
   EXPECT_EQ(host->connections.size(), 1u);
 }
 
-// --- Pieces and pauses ---
+// --- Expect: 100-continue and small parts ---
 
 TEST_F(StreamTest, SendsContinueToExpectingClient) {
   add_host("a", always_reply(response_text(200, "", "done")));
   start();
-  auto c = raw();
+  auto c = raw_client();
   c->send(head_of("write", "Content-Length: 4\r\nExpect: 100-continue\r\n"));
   ASSERT_TRUE(until([&] { return c->has("HTTP/1.1 100 Continue\r\n\r\n"); }));
   c->send("body");
   ASSERT_TRUE(until([&] { return c->has("done"); }));
   EXPECT_EQ(hosts[0]->requests.at(0).count("Expect"), 0u);
-  auto other = raw();
+  auto other = raw_client();
   other->send(head_of("write", "Content-Length: 4\r\nExpect: more\r\n"));
   EXPECT_TRUE(until([&] { return other->has("417"); }));
-  auto large = raw();
+  auto large = raw_client();
   large->send(head_of("write", "Content-Length: 60000000\r\nExpect: 100-continue\r\n"));
   ASSERT_TRUE(until([&] { return large->has("413"); }));
   EXPECT_FALSE(large->has("100 Continue"));
 }
 
-TEST_F(StreamTest, AcceptsSingleByteReadsBothWays) {
-  raw_host();
-  auto c = raw();
-  const auto drip = [&](Raw& to, const std::string& text) {
+TEST_F(StreamTest, AcceptsRequestAndResponseByteByByte) {
+  start_with_raw_host();
+  auto c = raw_client();
+  const auto send_bytewise = [&](RawConnection& to, const std::string& text) {
     for (const char byte : text) {
       to.send(std::string(1, byte));
       io.restart();
       io.poll();
     }
   };
-  drip(*c, head_of("write", "Transfer-Encoding: chunked\r\n") +
-               "3\r\nabc\r\n2;x\r\nde\r\n0\r\nT: 1\r\n\r\n");
-  auto h = asked();
+  send_bytewise(*c, head_of("write", "Transfer-Encoding: chunked\r\n") +
+                        "3\r\nabc\r\n2;x\r\nde\r\n0\r\nT: 1\r\n\r\n");
+  auto h = connection_with_request();
   ASSERT_TRUE(until([&] { return h->body() == "abcde"; }));
-  drip(*h,
-       "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: "
-       "chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n");
+  send_bytewise(*h,
+                "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: "
+                "chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n");
   ASSERT_TRUE(until([&] { return c->has("HTTP/1.1 200") && c->has("x"); }));
   EXPECT_FALSE(c->has("103"));
 }
@@ -497,50 +524,50 @@
   auto buffers = std::make_shared<http::BufferBudget>();
   buffers->limit_bytes = 100'000;
   {
-    http::BodyStream one(buffers);
-    http::BodyStream two(buffers);
-    one.push(std::string(60'000, 'x'));
-    EXPECT_FALSE(one.full());
-    two.push(std::string(50'000, 'x'));
-    EXPECT_TRUE(one.full() && two.full());
-    two.take();
-    EXPECT_FALSE(one.full());
-    EXPECT_TRUE(two.consumed());
-    EXPECT_FALSE(one.consumed());
-    one.drop();
+    http::BodyStream first(buffers);
+    http::BodyStream second(buffers);
+    first.push(std::string(60'000, 'x'));
+    EXPECT_FALSE(first.full());
+    second.push(std::string(50'000, 'x'));
+    EXPECT_TRUE(first.full() && second.full());
+    second.take();
+    EXPECT_FALSE(first.full());
+    EXPECT_TRUE(second.consumed());
+    EXPECT_FALSE(first.consumed());
+    first.drop();
     EXPECT_EQ(buffers->used_bytes, 0u);
-    two.push("x");
+    second.push("x");
   }
   EXPECT_EQ(buffers->used_bytes, 0u);
 }
 
-TEST(BodyStreamTest, NotifiesEachSideOnce) {
-  http::BodyStream pipe(std::make_shared<http::BufferBudget>());
-  int data = 0;
-  int room = 0;
-  int dropped = 0;
-  pipe.on_data = [&] {
-    ++data;
+TEST(BodyStreamTest, CallsEachSideOncePerChange) {
+  http::BodyStream stream(std::make_shared<http::BufferBudget>());
+  int data_calls = 0;
+  int writable_calls = 0;
+  int dropped_calls = 0;
+  stream.on_data = [&] {
+    ++data_calls;
   };
-  pipe.on_writable = [&] {
-    ++room;
+  stream.on_writable = [&] {
+    ++writable_calls;
   };
-  pipe.on_dropped = [&] {
-    ++dropped;
+  stream.on_dropped = [&] {
+    ++dropped_calls;
   };
-  pipe.push("abc");
-  EXPECT_EQ(pipe.take(), "abc");
-  EXPECT_EQ(pipe.take(), "");
-  pipe.abort();
-  pipe.finish();
-  EXPECT_TRUE(pipe.aborted());
-  EXPECT_FALSE(pipe.finished());
-  pipe.drop();
-  pipe.drop();
-  pipe.push("late");
-  EXPECT_EQ(data, 2);
-  EXPECT_EQ(room, 1);
-  EXPECT_EQ(dropped, 1);
+  stream.push("abc");
+  EXPECT_EQ(stream.take(), "abc");
+  EXPECT_EQ(stream.take(), "");
+  stream.abort();
+  stream.finish();
+  EXPECT_TRUE(stream.aborted());
+  EXPECT_FALSE(stream.finished());
+  stream.drop();
+  stream.drop();
+  stream.push("late");
+  EXPECT_EQ(data_calls, 2);
+  EXPECT_EQ(writable_calls, 1);
+  EXPECT_EQ(dropped_calls, 1);
 }
 
 }  // namespace
