--- a/tests/gateway/program_test.cpp
+++ b/tests/gateway/program_test.cpp
@@ -1,4 +1,5 @@
-// The program itself: exit codes and SIGTERM. Its path is the first argument.
+// The gateway's program as a child process: exit codes, signals, operators' requests, the
+// descriptor limit and the upgrade by a second process. The program's path is the first argument.
 #include <spawn.h>
 #include <sys/resource.h>
 #include <sys/wait.h>
@@ -16,10 +17,11 @@
 namespace gateway::testing {
 namespace {
 
-std::string program;  // set once, by main
+std::string program;  // path, set by main
 
-// With `socket`, it is inherited as descriptor 3 and named.
-pid_t run(const std::string& variable, int socket = -1) {
+// Starts the program with one environment variable, NAME=VALUE, beside TMPDIR. `socket` is passed
+// as descriptor 3 in GW_PASSED_SOCKET; -1: none.
+pid_t start_program(const std::string& variable, int socket = -1) {
   std::vector<char*> argv{program.data(), nullptr};
   std::vector<std::string> copies{variable, "TMPDIR=" + ::testing::TempDir()};
   if (socket >= 0) {
@@ -41,6 +43,7 @@
   return pid;
 }
 
+// Waits for the end of the process. -1 if a signal ended it.
 int exit_code(pid_t pid) {
   int status = 0;
   EXPECT_EQ(waitpid(pid, &status, 0), pid);
@@ -48,23 +51,26 @@
 }
 
 TEST(Program, ExitsOnInvalidConfiguration) {
-  EXPECT_EQ(exit_code(run("GW_CONFIG=/nonexistent")), 2);
+  EXPECT_EQ(exit_code(start_program("GW_CONFIG=/nonexistent")), 2);
 }
 
-std::string written(const json& config, const std::string& name) {
+// Writes a configuration file of this test process and returns its path.
+std::string write_config(const json& config, const std::string& name) {
   std::string path = ::testing::TempDir() + name + std::to_string(getpid()) + ".json";
   std::ofstream(path) << config.dump();
   return path;
 }
 
 TEST(Program, ExitsOnDescriptorThatIsNotListening) {
-  const std::string path = written(config_json(), "no_listener");
+  const std::string path = write_config(config_json(), "no_listener");
   asio::io_context io;
   tcp::acceptor socket(io, tcp::v4());  // neither bound nor listening
-  EXPECT_EQ(exit_code(run("GW_CONFIG=" + path, socket.native_handle())), 1);
+  EXPECT_EQ(exit_code(start_program("GW_CONFIG=" + path, socket.native_handle())), 1);
   std::remove(path.c_str());
 }
 
+// Starts the program on free ports of loopback, with one host that refuses connections, and waits
+// until it is ready. At the end the program must exit with 0 on SIGTERM.
 class RunningProgram : public ::testing::Test {
  protected:
   asio::io_context io;
@@ -75,61 +81,66 @@
 
   void SetUp() override {
     {
-      tcp::acceptor probe(io, loopback());
-      tcp::acceptor other(io, loopback());
-      config["listen"] = text_of(probe.local_endpoint());
-      config["admin_addr"] = text_of(other.local_endpoint());
+      // The system chooses two free ports, which are released for the program.
+      tcp::acceptor listen(io, loopback());
+      tcp::acceptor admin(io, loopback());
+      config["listen"] = text_of(listen.local_endpoint());
+      config["admin_addr"] = text_of(admin.local_endpoint());
     }
     config["known"] = {{"rev", 1}, {"all", true}, {"targets", {target("s-0", loopback(1))}}};
-    prepare();
+    adjust_config();
     write(config.dump());
-    pid = run("GW_CONFIG=" + path);
-    EXPECT_EQ(up(), 200u);
+    pid = start_program("GW_CONFIG=" + path);
+    EXPECT_EQ(up_status(), 200u);
   }
   void TearDown() override {
     kill(pid, SIGTERM);
     EXPECT_EQ(exit_code(pid), 0);
     std::remove(path.c_str());
   }
-  virtual void prepare() {}
+  // Changes `config` before the program is started.
+  virtual void adjust_config() {}
   void write(const std::string& text) { std::ofstream(path) << text; }
-  unsigned up() { return call("GET", "/up", config["listen"]); }
-  unsigned call(const std::string& method, const std::string& path, std::string address = {},
-                const std::string& headers = {}) {
+  unsigned up_status() { return status_of("GET", "/up", config["listen"]); }
+  // Sends a request without a body, by default to the operators' address, and returns the status of
+  // the response; 0 without a response. Repeats the connect for kWaitTimeout at most.
+  unsigned status_of(const std::string& method, const std::string& request_path,
+                     std::string address = {}, const std::string& headers = {}) {
     if (address.empty()) {
       address = config["admin_addr"];
     }
     tcp::socket socket(io);
-    const tcp::endpoint at = discovery::parse_endpoint(address);
+    const tcp::endpoint endpoint = discovery::parse_endpoint(address);
     error_code ec = asio::error::not_connected;
     const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
     while (ec && std::chrono::steady_clock::now() < end) {
       socket.close();
-      socket.connect(at, ec);
+      socket.connect(endpoint, ec);
       std::this_thread::yield();
     }
     if (ec) {
       return 0;
     }
-    asio::write(socket, asio::buffer(method + " " + path + " HTTP/1.1\r\n" + headers + "\r\n"));
+    asio::write(socket,
+                asio::buffer(method + " " + request_path + " HTTP/1.1\r\n" + headers + "\r\n"));
     boost::beast::flat_buffer buffer;
-    Response answer;
-    read(socket, buffer, answer, ec);
-    return ec ? 0 : answer.result_int();
+    Response response;
+    read(socket, buffer, response, ec);
+    return ec ? 0 : response.result_int();
   }
 };
 
-TEST_F(RunningProgram, ExitsWithZeroOnSigterm) {}
+TEST_F(RunningProgram, ExitsWithZeroOnSigterm) {}  // checked by TearDown()
 
-TEST_F(RunningProgram, ServesAdminAddress) {
-  EXPECT_EQ(call("GET", "/healthcheck"), 200u);
-  EXPECT_EQ(call("POST", "/hosts/s-0/maint"), 200u);
-  EXPECT_EQ(call("POST", "/hosts/s-none/maint"), 404u);
-  EXPECT_EQ(call("POST", "/healthcheck/fail"), 200u);
-  EXPECT_EQ(call("GET", "/healthcheck"), 503u);
-  EXPECT_EQ(up(), 503u);
-  EXPECT_EQ(call("POST", "/healthcheck/ok"), 200u);
-  EXPECT_EQ(up(), 200u);
+TEST_F(RunningProgram, HandlesOperatorRequestsAtAdminAddress) {
+  EXPECT_EQ(status_of("GET", "/healthcheck"), 200u);
+  EXPECT_EQ(status_of("POST", "/hosts/s-0/maint"), 200u);
+  EXPECT_EQ(status_of("POST", "/hosts/s-none/maint"), 404u);
+  EXPECT_EQ(status_of("POST", "/healthcheck/fail"), 200u);
+  EXPECT_EQ(status_of("GET", "/healthcheck"), 503u);
+  EXPECT_EQ(up_status(), 503u);
+  EXPECT_EQ(status_of("POST", "/healthcheck/ok"), 200u);
+  EXPECT_EQ(up_status(), 200u);
 }
 
 TEST_F(RunningProgram, SighupSwitchesDiscoveryAndIgnoresInvalidFile) {
@@ -137,18 +148,18 @@
   config["discovery"] = text_of(discovery.local_endpoint());
   write(config.dump());
   kill(pid, SIGHUP);
-  bool called = false;
-  discovery.async_accept([&](error_code ec, tcp::socket) { called = !ec; });
-  io.run_for(kWaitTimeout);  // ends at the first call
-  EXPECT_TRUE(called) << "the one that the new file names";
+  bool is_called = false;
+  discovery.async_accept([&](error_code ec, tcp::socket) { is_called = !ec; });
+  io.run_for(kWaitTimeout);  // returns at the first call
+  EXPECT_TRUE(is_called) << "the discovery server of the new file was not called";
   write("{");
   kill(pid, SIGHUP);
   kill(pid, SIGHUP);
-  EXPECT_EQ(up(), 200u);
+  EXPECT_EQ(up_status(), 200u);
 }
 
-// The platform holds the socket; the second process takes over while the first one finishes.
-// Before it is ready, within a reload and twice: it ends in order all the same.
+// SIGTERM arrives before the program is ready, during a reload, and twice: the program must still
+// end in order.
 TEST(Program, ExitsWithZeroOnEarlyAndRepeatedSigterm) {
   asio::io_context io;
   tcp::acceptor discovery(io, loopback());
@@ -156,9 +167,9 @@
   json config = config_json();
   config["name"] = "early";
   config["discovery"] = text_of(discovery.local_endpoint());
-  const std::string path = written(config, "early");
-  const pid_t pid = run("GW_CONFIG=" + path);
-  discovery.accept();  // it has asked, and is told nothing
+  const std::string path = write_config(config, "early");
+  const pid_t pid = start_program("GW_CONFIG=" + path);
+  discovery.accept();  // the program polls and gets no response
   config["discovery"] = text_of(moved.local_endpoint());
   std::ofstream(path) << config.dump();
   kill(pid, SIGHUP);
@@ -170,35 +181,35 @@
   std::remove(path.c_str());
 }
 
-// Idle clients hold all the descriptors that clients may have, half of them with half a request,
-// while discovery is down. Operators, hosts, new clients and discovery at its return still get
-// theirs.
+// While discovery is down, idle clients use all descriptors that clients may have, half of them
+// with an incomplete request. Operators, hosts and new clients must still be served, and discovery
+// must be called once it can be reached.
 class ProgramAtDescriptorLimit : public RunningProgram {
  protected:
   static constexpr rlim_t kDescriptors = 96;
-  tcp::acceptor discovery{io, tcp::v4()};  // bound, and refuses until it listens
+  tcp::acceptor discovery{io, tcp::v4()};  // bound; refuses connections until it listens
   std::unique_ptr<Peer> host;
-  rlimit before{};
+  rlimit original_limit{};
 
-  void prepare() override {
+  void adjust_config() override {
     discovery.bind(loopback());
     host =
         std::make_unique<Peer>(io, [](PeerConnection& c) { c.reply(response_text(200, "", "x")); });
     config["discovery"] = text_of(discovery.local_endpoint());
-    config["name"] = "crowded";  // a state of its own
+    config["name"] = "crowded";  // has a state directory of its own
     config["limits"]["sockets"] = kDescriptors;
     config["known"]["targets"] = {target("s-1", host->endpoint)};
-    getrlimit(RLIMIT_NOFILE, &before);
-    const rlimit tight{kDescriptors, before.rlim_max};
-    setrlimit(RLIMIT_NOFILE, &tight);  // inherited by the program
+    getrlimit(RLIMIT_NOFILE, &original_limit);
+    const rlimit limit{kDescriptors, original_limit.rlim_max};
+    setrlimit(RLIMIT_NOFILE, &limit);  // inherited by the program
   }
   void SetUp() override {
     RunningProgram::SetUp();
-    setrlimit(RLIMIT_NOFILE, &before);
+    setrlimit(RLIMIT_NOFILE, &original_limit);
   }
 };
 
-TEST_F(ProgramAtDescriptorLimit, ServesAllClientsAtDescriptorLimit) {
+TEST_F(ProgramAtDescriptorLimit, ServesOperatorsAndNewClientsAndPollsDiscovery) {
   std::vector<tcp::socket> idle;
   for (int i = 0; i < 120; ++i) {
     idle.emplace_back(io);
@@ -208,69 +219,77 @@
     }
   }
   const auto open_descriptors = [&] {
-    const std::filesystem::directory_iterator open("/proc/" + std::to_string(pid) + "/fd");
-    const std::filesystem::directory_iterator end;
-    return static_cast<rlim_t>(std::distance(open, end));
+    const std::filesystem::directory_iterator first("/proc/" + std::to_string(pid) + "/fd");
+    const std::filesystem::directory_iterator last;
+    return static_cast<rlim_t>(std::distance(first, last));
   };
-  const auto until = std::chrono::steady_clock::now() + kWaitTimeout;
-  while (open_descriptors() < kDescriptors / 2 && std::chrono::steady_clock::now() < until) {
+  const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
+  while (open_descriptors() < kDescriptors / 2 && std::chrono::steady_clock::now() < end) {
     std::this_thread::yield();
   }
-  EXPECT_GE(open_descriptors(), kDescriptors / 2) << "the crowd is in";
-  EXPECT_EQ(call("GET", "/healthcheck"), 200u);
+  EXPECT_GE(open_descriptors(), kDescriptors / 2) << "the idle clients are not connected";
+  EXPECT_EQ(status_of("GET", "/healthcheck"), 200u);
   std::size_t calls = 0;
   discovery.listen();
-  std::shared_ptr<PeerConnection> call1;
+  std::shared_ptr<PeerConnection> discovery_connection;
   discovery.async_accept([&](error_code ec, tcp::socket socket) {
     if (ec) {
       return;
     }
-    call1 = std::make_shared<PeerConnection>(std::move(socket), [&](PeerConnection& c) {
-      if (++calls == 1) {
-        c.reply(response_text(
-            200, "",
-            json{{"rev", 7}, {"all", true}, {"targets", {target("s-1", host->endpoint)}}}.dump()));
-      }
-    });
-    call1->read();
+    discovery_connection =
+        std::make_shared<PeerConnection>(std::move(socket), [&](PeerConnection& c) {
+          if (++calls == 1) {
+            c.reply(response_text(
+                200, "",
+                json{{"rev", 7}, {"all", true}, {"targets", {target("s-1", host->endpoint)}}}
+                    .dump()));
+          }
+        });
+    discovery_connection->read();
   });
-  EXPECT_TRUE(run_until(io, [&] { return calls == 2; })) << "asked, answered and watched";
+  EXPECT_TRUE(run_until(io, [&] { return calls == 2; }))
+      << "a poll that gets a response, then a watch";
   unsigned status = 0;
-  std::thread asker([&] {  // the host lives on this thread's loop
-    status = call("GET", "/read", config["listen"], "X-Request-Id: r1\r\nX-Class: read\r\n");
+  // Sent from another thread, as the host needs this thread's event loop to respond.
+  std::thread request_thread([&] {
+    status = status_of("GET", "/read", config["listen"], "X-Request-Id: r1\r\nX-Class: read\r\n");
     asio::post(io, [] {});
   });
   EXPECT_TRUE(run_until(io, [&] { return !host->requests.empty(); }));
   io.restart();
   io.run_for(std::chrono::milliseconds(50));
-  asker.join();
+  request_thread.join();
   EXPECT_EQ(status, 200u);
-  EXPECT_EQ(call("POST", "/hosts/s-1/ready"), 200u);
+  EXPECT_EQ(status_of("POST", "/hosts/s-1/ready"), 200u);
   EXPECT_LE(open_descriptors(), kDescriptors);
-  if (call1) {
-    call1->close();
+  if (discovery_connection) {
+    discovery_connection->close();
   }
 }
 
+// The second process takes over while the first one finishes. The listening socket belongs to
+// neither: this test holds it open, as a process supervisor does, and passes it to both.
 TEST(Upgrade, NewProcessServesAndKeepsMaintenanceWhileOldOneEnds) {
   asio::io_context io;
-  tcp::acceptor platform(io, loopback());
+  tcp::acceptor listening_socket(io, loopback());
   json config = config_json();
   config["name"] = "upgrade" + std::to_string(getpid());
-  config["listen"] = text_of(platform.local_endpoint());
+  config["listen"] = text_of(listening_socket.local_endpoint());
   config["known"] = {{"rev", 1}, {"all", true}, {"targets", {target("s-0", loopback(1))}}};
   const auto start = [&](const std::string& name) {
     std::string admin;
     {
-      tcp::acceptor probe(io, loopback());
-      admin = text_of(probe.local_endpoint());
+      tcp::acceptor free_port(io, loopback());
+      admin = text_of(free_port.local_endpoint());
     }
     config["admin_addr"] = admin;
-    return std::make_pair(run("GW_CONFIG=" + written(config, name), platform.native_handle()),
-                          admin);
+    return std::make_pair(
+        start_program("GW_CONFIG=" + write_config(config, name), listening_socket.native_handle()),
+        admin);
   };
-  // The answer at an operators' address, asked for until it is the one.
-  const auto becomes = [&](const std::string& address, const std::string& call, unsigned status) {
+  // Repeats a request at an address until its response has this status; false after kWaitTimeout.
+  const auto status_becomes = [&](const std::string& address, const std::string& request_line,
+                                  unsigned status) {
     const auto end = std::chrono::steady_clock::now() + kWaitTimeout;
     while (std::chrono::steady_clock::now() < end) {
       tcp::socket socket(io);
@@ -279,25 +298,25 @@
       if (ec) {
         continue;
       }
-      asio::write(socket, asio::buffer(call + " HTTP/1.1\r\n\r\n"), ec);
+      asio::write(socket, asio::buffer(request_line + " HTTP/1.1\r\n\r\n"), ec);
       boost::beast::flat_buffer buffer;
-      Response answer;
-      read(socket, buffer, answer, ec);
-      if (!ec && answer.result_int() == status) {
+      Response response;
+      read(socket, buffer, response, ec);
+      if (!ec && response.result_int() == status) {
         return true;
       }
     }
     return false;
   };
-  const auto [old, oldAdmin] = start("old");
-  ASSERT_TRUE(becomes(oldAdmin, "GET /healthcheck", 200));
-  ASSERT_TRUE(becomes(oldAdmin, "POST /hosts/s-0/maint", 200));
-  const auto [next, nextAdmin] = start("new");
-  ASSERT_TRUE(becomes(nextAdmin, "GET /healthcheck", 200));
+  const auto [old, old_admin] = start("old");
+  ASSERT_TRUE(status_becomes(old_admin, "GET /healthcheck", 200));
+  ASSERT_TRUE(status_becomes(old_admin, "POST /hosts/s-0/maint", 200));
+  const auto [next, next_admin] = start("new");
+  ASSERT_TRUE(status_becomes(next_admin, "GET /healthcheck", 200));
   kill(old, SIGTERM);
   EXPECT_EQ(exit_code(old), 0);
-  EXPECT_TRUE(becomes(nextAdmin, "POST /hosts/s-0/ready", 200));
-  EXPECT_TRUE(becomes(text_of(platform.local_endpoint()), "GET /up", 200));
+  EXPECT_TRUE(status_becomes(next_admin, "POST /hosts/s-0/ready", 200));
+  EXPECT_TRUE(status_becomes(text_of(listening_socket.local_endpoint()), "GET /up", 200));
   kill(next, SIGTERM);
   EXPECT_EQ(exit_code(next), 0);
   for (const char* name : {"old", "new"}) {
