--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -68,6 +68,8 @@
   EXPECT_EQ(hosts[0]->connections.size(), 2u);
 }
 
+// A host that closed an idle connection while a request is being sent on it would make a
+// non-idempotent request fail, so the gateway closes it first, after idleCloseNs.
 TEST_F(GatewayTest, ClosesIdleConnectionBeforeHostIdleTimeout) {
   config["settings"]["ceilings"]["idleCloseNs"] = 100'000'000;
   add_host("a", always_reply(response_text(200, "", "x")));
@@ -114,16 +116,16 @@
 
 TEST_P(AttemptOutcomeTest, RetriesNonIdempotentRequestOnlyIfNotExecuted) {
   start_with_two_hosts(first_attempt(GetParam().fault));
-  const Response r = send_request(request_text("write", "", "body"));
-  EXPECT_EQ(r.result_int(), GetParam().may_have_run ? 502u : 200u);
+  const Response response = send_request(request_text("write", "", "body"));
+  EXPECT_EQ(response.result_int(), GetParam().may_have_run ? 502u : 200u);
   EXPECT_EQ(attempted_hosts.size(), GetParam().may_have_run ? 1u : 2u);
 }
 
 TEST_P(AttemptOutcomeTest, RetriesIdempotentRequestOnOtherHost) {
   start_with_two_hosts(first_attempt(GetParam().fault));
-  const Response r = send_request(request_text("read"));
-  EXPECT_EQ(r.result_int(), 200u);
-  EXPECT_EQ(r.body(), "late") << "no part of the invalid response is forwarded";
+  const Response response = send_request(request_text("read"));
+  EXPECT_EQ(response.result_int(), 200u);
+  EXPECT_EQ(response.body(), "late") << "no part of the invalid response is forwarded";
   EXPECT_EQ(std::set<std::string>(attempted_hosts.begin(), attempted_hosts.end()).size(), 2u);
 }
 
@@ -450,9 +452,9 @@
 TEST_F(GatewayTest, RejectionAfterFailedAttemptsHasRetryAfter) {
   config["settings"]["ceilings"]["retryAfter"] = true;
   start_with_two_hosts(always_reply(response_text(503, kNotRun, "")));
-  const Response r = send_request(request_text("write"));
-  EXPECT_EQ(r.result_int(), 503u);
-  EXPECT_EQ(r.count("Retry-After"), 1u);
+  const Response response = send_request(request_text("write"));
+  EXPECT_EQ(response.result_int(), 503u);
+  EXPECT_EQ(response.count("Retry-After"), 1u);
   EXPECT_FALSE(attempted_hosts.empty());
 }
 
@@ -880,6 +882,8 @@
   EXPECT_EQ(attempted_hosts.front(), "s-1");
 }
 
+// Maintenance of a host begins while the gateway still connects to it for an attempt, which must
+// then go to another host.
 TEST_F(GatewayTest, ReroutesUnsentAttemptWhenMaintenanceBegins) {
   start_with_two_hosts(always_reply(response_text(200, "", "x")));
   // A host that accepts no connection, as the queue of its listening socket is full.
@@ -956,6 +960,7 @@
   EXPECT_TRUE(send_request(request_text("read")).keep_alive());
 }
 
+// A stop cannot be undone: the end of a drain must not make the gateway accept clients again.
 TEST_F(GatewayTest, EndOfDrainDoesNotCancelStop) {
   add_host("a", always_reply(response_text(200, "", "x")));
   start();
@@ -970,6 +975,8 @@
 
 // --- Shared listening socket ---
 
+// A new process takes over from an old one at a shared socket: it accepts clients once it has an
+// endpoint list, and the end of the old process leaves the socket open.
 TEST_F(GatewayTest, TwoGatewaysShareListeningSocket) {
   add_host("a", always_reply(response_text(200, "", "x")));
   tcp::acceptor shared_socket(io, loopback());
@@ -1004,6 +1011,8 @@
   EXPECT_TRUE(shared_socket.is_open());
 }
 
+// Connections that wait at a shared socket while a process stops are left to the other processes:
+// accepted by the stopping one, they would be closed.
 TEST_F(GatewayTest, LeavesWaitingConnectionsOfSharedSocketToNextProcess) {
   add_host("a", always_reply(response_text(200, "", "x")));
   tcp::acceptor shared_socket(io, loopback());
@@ -1028,6 +1037,8 @@
 
 // --- Retained state ---
 
+// Hosts are replaced as long as the process runs: state that stays for removed hosts would grow
+// without bound.
 TEST_F(GatewayTest, ForgetsRemovedHosts) {
   add_host("a", always_reply(response_text(200, "", "stays")));
   start();
@@ -1049,6 +1060,7 @@
   EXPECT_EQ(gateway->active_requests(), 0u);
 }
 
+// A removed host stays known until its last attempt has finished, whose response is forwarded.
 TEST_F(GatewayTest, ForgetsRemovedHostAfterItsLastAttempt) {
   std::shared_ptr<PeerConnection> pending;
   add_host("a", [&](PeerConnection& c, std::size_t) { pending = c.shared_from_this(); });
@@ -1065,6 +1077,7 @@
   EXPECT_TRUE(until([&] { return pending->closed_by_peer && gateway->hosts() == 0; }));
 }
 
+// Forwarding a request with the id of an active one could execute the request twice.
 TEST_F(GatewayTest, RejectsDuplicateIdOfActiveRequest) {
   std::shared_ptr<PeerConnection> pending;
   add_host("a", [&](PeerConnection& c, std::size_t) { pending = c.shared_from_this(); });
--- a/tests/gateway/stream_test.cpp
+++ b/tests/gateway/stream_test.cpp
@@ -150,16 +150,16 @@
   const std::string body = pattern(1'000'000);
   auto c = raw_client();
   c->send(head_of("write", "Content-Length: 1000000\r\n") + body.substr(0, 200'000));
-  auto h = connection_with_request();
-  ASSERT_TRUE(until([&] { return h->body_size() == 200'000; }));
-  EXPECT_TRUE(h->has("Content-Length: 1000000\r\n"));
+  auto upstream = connection_with_request();
+  ASSERT_TRUE(until([&] { return upstream->body_size() == 200'000; }));
+  EXPECT_TRUE(upstream->has("Content-Length: 1000000\r\n"));
   c->send(body.substr(200'000));
-  ASSERT_TRUE(until([&] { return h->body_size() == body.size(); }));
-  EXPECT_EQ(h->body(), body);
-  h->send(response_text(200, "", "done"));
+  ASSERT_TRUE(until([&] { return upstream->body_size() == body.size(); }));
+  EXPECT_EQ(upstream->body(), body);
+  upstream->send(response_text(200, "", "done"));
   ASSERT_TRUE(until([&] { return c->has("done"); }));
   c->send(request_text("read"));
-  ASSERT_TRUE(until([&] { return h->has("GET /read"); })) << "both connections stay open";
+  ASSERT_TRUE(until([&] { return upstream->has("GET /read"); })) << "both connections stay open";
 }
 
 TEST_F(StreamTest, StreamsThirtyTwoMegabytesEachWay) {
@@ -167,10 +167,10 @@
   const std::string body = pattern(http::kBodyLimit);
   auto c = raw_client();
   c->send(head_of("write", "Content-Length: " + std::to_string(body.size()) + "\r\n") + body);
-  auto h = connection_with_request();
-  ASSERT_TRUE(until([&] { return h->body_size() == body.size(); }));
-  EXPECT_TRUE(h->body() == body);
-  h->send(response_text(200, "", body));
+  auto upstream = connection_with_request();
+  ASSERT_TRUE(until([&] { return upstream->body_size() == body.size(); }));
+  EXPECT_TRUE(upstream->body() == body);
+  upstream->send(response_text(200, "", body));
   ASSERT_TRUE(until([&] { return c->body_size() == body.size(); }));
   EXPECT_TRUE(c->body() == body);
 }
@@ -186,17 +186,17 @@
     sent += "1388;ext=1\r\n" + piece + "\r\n";
   }
   c->send(sent + "0\r\nX-Class: read\r\n\r\n");
-  auto h = connection_with_request();
-  ASSERT_TRUE(until([&] { return h->has("\r\n0\r\n\r\n"); }));
-  EXPECT_TRUE(h->has("Transfer-Encoding: chunked\r\n"));
-  EXPECT_FALSE(h->has("X-Class: read"));
+  auto upstream = connection_with_request();
+  ASSERT_TRUE(until([&] { return upstream->has("\r\n0\r\n\r\n"); }));
+  EXPECT_TRUE(upstream->has("Transfer-Encoding: chunked\r\n"));
+  EXPECT_FALSE(upstream->has("X-Class: read"));
   boost::beast::http::request_parser<boost::beast::http::string_body> parser;
   parser.eager(true);
   parser.body_limit(std::numeric_limits<std::uint64_t>::max());
   error_code ec;
-  parser.put(asio::buffer(h->received), ec);
+  parser.put(asio::buffer(upstream->received), ec);
   EXPECT_EQ(parser.get().body(), body);
-  h->send(response_text(200, "", "done"));
+  upstream->send(response_text(200, "", "done"));
   EXPECT_TRUE(until([&] { return c->has("done"); }));
 }
 
@@ -212,25 +212,28 @@
   EXPECT_EQ(hosts[0]->requests.at(0).count("X-Sum"), 0u);
 }
 
+// While a host reads nothing, the gateway must stop reading from the client: otherwise its memory
+// would grow with every body sent to a slow host.
 TEST_F(StreamTest, SlowHostSlowsClientWithBoundedMemory) {
   start_with_raw_host();
   auto c = raw_client();
   c->send(head_of("write", "Content-Length: 32000000\r\n"));
   c->send(std::string(100'000, 'x'));
-  auto h = connection_with_request();
-  h->paused = true;
+  auto upstream = connection_with_request();
+  upstream->paused = true;
   c->send(std::string(31'900'000, 'x'));
   std::size_t last_unsent = 0;
   std::size_t checks_without_progress = 0;
   ASSERT_TRUE(until([&] {
-    checks_without_progress = c->unsent == std::exchange(last_unsent, c->unsent) && h->stopped
-                                  ? checks_without_progress + 1
-                                  : 0;
+    checks_without_progress =
+        c->unsent == std::exchange(last_unsent, c->unsent) && upstream->stopped
+            ? checks_without_progress + 1
+            : 0;
     return checks_without_progress > 20;
   }));
   EXPECT_GT(c->unsent, 0u) << "the gateway does not read the whole body ahead of the host";
-  h->resume();
-  ASSERT_TRUE(until([&] { return h->body_size() == 32'000'000; }));
+  upstream->resume();
+  ASSERT_TRUE(until([&] { return upstream->body_size() == 32'000'000; }));
 }
 
 TEST_F(StreamTest, RetriesBufferedBodyButNotConsumedOne) {
@@ -245,9 +248,9 @@
     auto c = raw_client();
     c->send(head_of("write", "Content-Length: 100000\r\n") + std::string(70'000, 'x'));
     // Also if s-gone was tried first: the buffered beginning of the body can be sent again.
-    auto h = connection_with_request(i);
-    ASSERT_TRUE(until([&] { return h->body_size() == 70'000; }));
-    h->close();
+    auto upstream = connection_with_request(i);
+    ASSERT_TRUE(until([&] { return upstream->body_size() == 70'000; }));
+    upstream->close();
     ASSERT_TRUE(until([&] { return c->has("\r\n\r\n"); }));
     EXPECT_TRUE(c->has("503"))
         << "the body was incomplete, so the request was not executed: rejected, and the client "
@@ -261,10 +264,10 @@
 TEST_F(StreamTest, ForwardsRejectionBeforeBodyIsComplete) {
   start_with_raw_host();
   auto c = begun_upload();
-  auto h = connection_with_request();
-  h->send(response_text(503, "X-Not-Run: 1\r\n", ""));
+  auto upstream = connection_with_request();
+  upstream->send(response_text(503, "X-Not-Run: 1\r\n", ""));
   ASSERT_TRUE(until([&] { return c->has("503"); }));
-  EXPECT_TRUE(until([&] { return h->closed; }));
+  EXPECT_TRUE(until([&] { return upstream->closed; }));
 }
 
 // The client must learn that its request failed, and neither its connection nor the host's may stay
@@ -273,19 +276,19 @@
   waits.clients.request_timeout = std::chrono::milliseconds(100);
   start_with_raw_host();
   auto c = begun_upload();
-  auto h = connection_with_request();
+  auto upstream = connection_with_request();
   ASSERT_TRUE(until([&] { return c->closed; }));
   EXPECT_TRUE(c->has("408"));
-  EXPECT_TRUE(until([&] { return h->closed; }));
+  EXPECT_TRUE(until([&] { return upstream->closed; }));
   EXPECT_TRUE(until([&] { return gateway->active_requests() == 0; }));
 }
 
 TEST_F(StreamTest, EndsAttemptWhenClientDisconnectsWithinBody) {
   start_with_raw_host();
   auto c = begun_upload();
-  auto h = connection_with_request();
+  auto upstream = connection_with_request();
   c->close();
-  EXPECT_TRUE(until([&] { return h->closed && gateway->active_requests() == 0; }));
+  EXPECT_TRUE(until([&] { return upstream->closed && gateway->active_requests() == 0; }));
 }
 
 // An attempt whose body can no longer be completed ends even with cancellation disabled.
@@ -293,11 +296,13 @@
   config["settings"]["ceilings"]["cancel"] = false;
   start_with_raw_host();
   auto c = begun_upload();
-  auto h = connection_with_request();
+  auto upstream = connection_with_request();
   c->close();
-  EXPECT_TRUE(until([&] { return h->closed && gateway->active_requests() == 0; }));
+  EXPECT_TRUE(until([&] { return upstream->closed && gateway->active_requests() == 0; }));
 }
 
+// A drained gateway closes idle connections. A connection whose first request has arrived in part
+// is not idle: closed, the request would be lost.
 TEST_F(StreamTest, DoesNotCloseConnectionWithIncompleteFirstRequest) {
   add_host("a", always_reply(response_text(200, "", "done")));
   start();
@@ -324,8 +329,8 @@
   }
   chunked->send(sent);
   ASSERT_TRUE(until([&] { return chunked->has("413"); }));
-  auto h = connection_with_request();
-  EXPECT_TRUE(until([&] { return h->closed; }))
+  auto upstream = connection_with_request();
+  EXPECT_TRUE(until([&] { return upstream->closed; }))
       << "the host does not receive the whole body, so it does not execute the request";
 }
 
@@ -335,11 +340,11 @@
   start_with_raw_host();
   auto c = raw_client();
   c->send(head_of("write", "Content-Length: 20\r\n") + "0123456789");
-  auto h = connection_with_request();
-  ASSERT_TRUE(until([&] { return h->body() == "0123456789"; }));
+  auto upstream = connection_with_request();
+  ASSERT_TRUE(until([&] { return upstream->body() == "0123456789"; }));
   c->send("0123456789");
-  ASSERT_TRUE(until([&] { return h->body_size() == 20; }));
-  h->send(response_text(200, "", "done"));
+  ASSERT_TRUE(until([&] { return upstream->body_size() == 20; }));
+  upstream->send(response_text(200, "", "done"));
   EXPECT_TRUE(until([&] { return c->has("done"); }));
 }
 
@@ -349,13 +354,13 @@
   start_with_raw_host();
   auto c = raw_client();
   c->send(request_text("read"));
-  auto h = connection_with_request();
-  h->send("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\nX-Load: TEXT util=0.5\r\n\r\n" +
-          pattern(100));
+  auto upstream = connection_with_request();
+  upstream->send("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\nX-Load: TEXT util=0.5\r\n\r\n" +
+                 pattern(100));
   ASSERT_TRUE(until([&] { return c->body() == pattern(100); }));
   EXPECT_FALSE(c->has("X-Load"));
   EXPECT_TRUE(c->has("Content-Length: 200000\r\n"));
-  h->close();
+  upstream->close();
   ASSERT_TRUE(until([&] { return c->closed; }))
       << "the client must see that the response is incomplete";
   EXPECT_EQ(c->body(), pattern(100));
@@ -366,14 +371,14 @@
   start_with_raw_host();
   auto c = raw_client();
   c->send(request_text("read"));
-  auto h = connection_with_request();
-  h->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
+  auto upstream = connection_with_request();
+  upstream->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
   ASSERT_TRUE(until([&] { return c->has("abc"); })) << "forwarded before the rest has arrived";
-  h->send("2\r\nde\r\n0\r\nX-Sum: 1\r\n\r\n");
+  upstream->send("2\r\nde\r\n0\r\nX-Sum: 1\r\n\r\n");
   ASSERT_TRUE(until([&] { return c->has("0\r\n\r\n"); }));
   EXPECT_FALSE(c->has("X-Sum"));
   c->send(request_text("read"));
-  ASSERT_TRUE(until([&] { return h->received.rfind("GET /read") > 10; }))
+  ASSERT_TRUE(until([&] { return upstream->received.rfind("GET /read") > 10; }))
       << "both connections stay open";
 }
 
@@ -382,10 +387,10 @@
   start_with_raw_host();
   auto c = raw_client();
   c->send(request_text("read"));
-  auto h = connection_with_request();
-  h->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
+  auto upstream = connection_with_request();
+  upstream->send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n");
   ASSERT_TRUE(until([&] { return c->has("abc"); }));
-  h->send("zz\r\n");
+  upstream->send("zz\r\n");
   ASSERT_TRUE(until([&] { return c->closed; }));
   EXPECT_FALSE(c->has("0\r\n\r\n"));
 }
@@ -418,23 +423,26 @@
   EXPECT_FALSE(old->has("chunked"));
 }
 
+// While a client reads nothing, the gateway must stop reading from the host: otherwise its memory
+// would grow with every response to a slow client.
 TEST_F(StreamTest, SlowClientSlowsHostAndIsServed) {
   start_with_raw_host();
   auto c = raw_client();
   c->paused = true;
   c->send(request_text("read"));
-  auto h = connection_with_request();
+  auto upstream = connection_with_request();
   const std::string body = pattern(20'000'000);
-  h->send(response_text(200, "", body));
+  upstream->send(response_text(200, "", body));
   std::size_t last_unsent = 0;
   std::size_t checks_without_progress = 0;
   ASSERT_TRUE(until([&] {
-    checks_without_progress = h->unsent == std::exchange(last_unsent, h->unsent) && c->stopped
-                                  ? checks_without_progress + 1
-                                  : 0;
+    checks_without_progress =
+        upstream->unsent == std::exchange(last_unsent, upstream->unsent) && c->stopped
+            ? checks_without_progress + 1
+            : 0;
     return checks_without_progress > 20;
   }));
-  EXPECT_GT(h->unsent, 0u) << "the gateway does not read the whole body ahead of the client";
+  EXPECT_GT(upstream->unsent, 0u) << "the gateway does not read the whole body ahead of the client";
   c->resume();
   ASSERT_TRUE(until([&] { return c->body_size() == body.size(); }));
   EXPECT_TRUE(c->body() == body);
@@ -446,9 +454,9 @@
   auto c = raw_client();
   c->paused = true;
   c->send(request_text("read"));
-  auto h = connection_with_request();
-  h->send(response_text(200, "", std::string(20'000'000, 'x')));
-  EXPECT_TRUE(until([&] { return h->closed; }));
+  auto upstream = connection_with_request();
+  upstream->send(response_text(200, "", std::string(20'000'000, 'x')));
+  EXPECT_TRUE(until([&] { return upstream->closed; }));
   EXPECT_TRUE(until([&] { return gateway->connections() == 0; }));
 }
 
@@ -456,20 +464,20 @@
   start_with_raw_host();
   auto c = raw_client();
   c->send(request_text("read"));
-  auto h = connection_with_request();
-  h->send("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nabc");
+  auto upstream = connection_with_request();
+  upstream->send("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nabc");
   ASSERT_TRUE(until([&] { return c->has("abc"); }));
   c->close();
-  EXPECT_TRUE(until([&] { return h->closed; }));
+  EXPECT_TRUE(until([&] { return upstream->closed; }));
 }
 
 TEST_F(StreamTest, RespondsToHeadRequestWithoutBody) {
   start_with_raw_host();
   auto c = raw_client();
   c->send("HEAD /read HTTP/1.1\r\nX-Request-Id: h1\r\n\r\n");
-  auto h = connection_with_request();
-  EXPECT_TRUE(h->has("HEAD /read"));
-  h->send("HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n");
+  auto upstream = connection_with_request();
+  EXPECT_TRUE(upstream->has("HEAD /read"));
+  upstream->send("HTTP/1.1 200 OK\r\nContent-Length: 5000000\r\n\r\n");
   ASSERT_TRUE(until([&] { return c->has("Content-Length: 5000000\r\n"); }));
   c->send("HEAD /up HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(until([&] { return c->received.rfind("HTTP/1.1 200") > 10; }))
@@ -509,9 +517,9 @@
   };
   send_bytewise(*c, head_of("write", "Transfer-Encoding: chunked\r\n") +
                         "3\r\nabc\r\n2;x\r\nde\r\n0\r\nT: 1\r\n\r\n");
-  auto h = connection_with_request();
-  ASSERT_TRUE(until([&] { return h->body() == "abcde"; }));
-  send_bytewise(*h,
+  auto upstream = connection_with_request();
+  ASSERT_TRUE(until([&] { return upstream->body() == "abcde"; }));
+  send_bytewise(*upstream,
                 "HTTP/1.1 103 Early\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: "
                 "chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n");
   ASSERT_TRUE(until([&] { return c->has("HTTP/1.1 200") && c->has("x"); }));
