--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -19,18 +19,19 @@
 using tcp = asio::ip::tcp;
 
 constexpr std::uint32_t kMaxHeadBytes = 4 << 10;
-/// Calls need no body, but some clients send a small one.
+/// Calls have no body, but some HTTP clients send a small one.
 constexpr std::uint64_t kMaxBodyBytes = 4 << 10;
-/// How long data that arrives after the reply is still read.
+/// How long data from the caller is read and discarded after the reply.
 constexpr auto kLingerTimeout = std::chrono::milliseconds(300);
-/// Accepting fails mostly for want of file descriptors, which others free soon.
+/// Accepting fails mostly because the process is out of file descriptors, which other connections
+/// free soon.
 constexpr auto kAcceptRetryInterval = std::chrono::milliseconds(20);
-constexpr std::size_t kDiscardBytes = 512;  // read at a time after the reply
-constexpr unsigned kHttp11 = 11;            // as Beast writes the version
+constexpr std::size_t kDiscardBytes = 512;  // per read operation after the reply
+constexpr unsigned kHttp11 = 11;            // HTTP/1.1 in Beast's notation
 
 }  // namespace
 
-/// One connection. The server's list and the pending operations share its ownership.
+/// A connection from an operator. Owned jointly by the server's list and the pending operations.
 class AdminServer::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(AdminServer& server, tcp::socket socket)
@@ -49,9 +50,10 @@
 
   bool is_replying() const { return is_replying_; }
 
-  /// Removes the session from the server's list.
+  /// Closes the connection and removes the session from the server's list. Further calls have no
+  /// effect.
   void close() {
-    if (std::exchange(closed_, true)) {
+    if (std::exchange(is_closed_, true)) {
       return;
     }
     const auto self = weak_from_this().lock();  // the list may hold the last reference
@@ -63,23 +65,24 @@
 
  private:
   void on_read(error_code ec) {
-    if (closed_) {
+    if (is_closed_) {
       return;
     }
-    // Only a malformed call gets a reply; one whose connection failed or ended does not.
+    // A malformed call gets a reply with status 400. A connection that failed, or ended without a
+    // call, gets none.
     const bool connection_failed =
         ec && ec.category() != beast_http::make_error_code({}).category();
     if (ec == beast_http::error::end_of_stream || connection_failed) {
       return close();
     }
-    reply(ec ? AdminReply{400, "not an HTTP/1.1 call", {}} : handle_call());
+    reply(ec ? AdminReply{400, "malformed or oversized HTTP request", {}} : handle_call());
   }
 
   AdminReply handle_call() {
     const auto& message = parser_.get();
     const std::string target = message.target().to_string();
     if (target.empty() || target.front() != '/') {
-      return {400, "the path is missing", {}};
+      return {400, "the request target must be a path that begins with '/'", {}};
     }
     return server_->handler_(
         {message.method_string().to_string(), target.substr(0, target.find('?'))});
@@ -105,13 +108,14 @@
   }
 
   void on_written(error_code ec) {
-    if (closed_) {
+    if (is_closed_) {
       return;
     }
     if (ec) {
       return close();
     }
-    // Closing with unread data would send a reset, which can reach the caller before the reply.
+    // Closing a socket with unread data sends a reset, which can make the caller's system discard
+    // the reply. So the rest is read first, for kLingerTimeout at most.
     error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
     set_timeout(kLingerTimeout);
@@ -122,7 +126,7 @@
     buffer_.clear();
     socket_.async_read_some(buffer_.prepare(kDiscardBytes),
                             [self = shared_from_this()](error_code ec, std::size_t) {
-                              if (self->closed_) {
+                              if (self->is_closed_) {
                                 return;
                               }
                               if (ec) {
@@ -149,7 +153,7 @@
   beast_http::response<beast_http::string_body> response_;
   Sessions::iterator position_;
   bool is_replying_ = false;
-  bool closed_ = false;
+  bool is_closed_ = false;
 };
 
 AdminServer::AdminServer(asio::io_context& io, const tcp::endpoint& listen, Limits limits,
@@ -190,18 +194,18 @@
 
 void AdminServer::add_session(tcp::socket socket) {
   if (sessions_.size() >= limits_.max_connections) {
-    make_room();
+    close_oldest_session();
   }
   sessions_.push_back(std::make_shared<Session>(*this, std::move(socket)));
   sessions_.back()->start(std::prev(sessions_.end()));
 }
 
-// A session that is being replied to is closed only where all are.
-void AdminServer::make_room() {
-  const auto oldest_waiting =
+// A session that is being replied to is closed only if all sessions are.
+void AdminServer::close_oldest_session() {
+  const auto oldest_unreplied =
       std::find_if(sessions_.begin(), sessions_.end(),
                    [](const auto& session) { return !session->is_replying(); });
-  const auto session = oldest_waiting == sessions_.end() ? sessions_.front() : *oldest_waiting;
+  const auto session = oldest_unreplied == sessions_.end() ? sessions_.front() : *oldest_unreplied;
   session->close();
 }
 
--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The HTTP server for operators' calls, at an address of its own. It has few connections, apart
-/// from those of the clients, so that neither side can use up the other's.
+/// HTTP server for operators' calls. It has its own address and its own, small limit of
+/// connections, so that clients and operators can't use up each other's connections.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,15 +15,17 @@
 
 namespace gateway::admin {
 
+/// A request from an operator.
 struct AdminCall {
-  std::string method;
-  std::string path;  ///< Without the query.
+  std::string method;  ///< HTTP method, such as "POST".
+  std::string path;    ///< Request target without the query.
 };
 
+/// The response to an AdminCall.
 struct AdminReply {
-  unsigned status = 200;
-  std::string text;   ///< One line for the caller.
-  std::string allow;  ///< With status 405: the methods that the path supports.
+  unsigned status = 200;  ///< HTTP status code.
+  std::string text;       ///< Body, one line without the line break.
+  std::string allow;      ///< Allow header, for status 405: the method that the path supports.
 };
 
 /// Reads one call on each connection, passes it to the handler and closes the connection after the
@@ -31,21 +33,25 @@
 class AdminServer {
  public:
   struct Limits {
-    /// A new connection closes the oldest one that is not being replied to yet.
+    /// Beyond this number, a new connection closes the oldest one whose call is still being read,
+    /// or the oldest of all if every call is being replied to.
     std::size_t max_connections = 8;
-    /// For a connection from its acceptance to its reply.
+    /// Time from accepting a connection to the end of its reply; then the connection is closed.
     std::chrono::milliseconds connection_timeout{5000};
   };
   using Handler = std::function<AdminReply(const AdminCall&)>;
 
-  /// Listens at once. Throws boost::system::system_error.
+  /// Binds the address and starts to accept connections. Throws boost::system::system_error if it
+  /// can't listen. The io_context must outlive the server.
   AdminServer(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& listen,
               Limits limits, Handler handler);
   ~AdminServer();
   AdminServer(const AdminServer&) = delete;
   AdminServer& operator=(const AdminServer&) = delete;
 
-  boost::asio::ip::tcp::endpoint listening() const { return acceptor_.local_endpoint(); }
+  /// Address of the listening socket.
+  boost::asio::ip::tcp::endpoint local_endpoint() const { return acceptor_.local_endpoint(); }
+  /// Number of open connections.
   std::size_t connections() const { return sessions_.size(); }
 
  private:
@@ -55,7 +61,7 @@
   void accept();
   void retry_accept();
   void add_session(boost::asio::ip::tcp::socket socket);
-  void make_room();
+  void close_oldest_session();
 
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer retry_timer_;
--- a/src/admin/admin_service.cpp
+++ b/src/admin/admin_service.cpp
@@ -7,7 +7,7 @@
 namespace gateway::admin {
 namespace {
 
-/// Half of the tenth of a second within which the other process must know.
+/// Half of the 0.1 s within which a call to one process must take effect in its sibling.
 constexpr auto kRefreshInterval = std::chrono::milliseconds(50);
 constexpr std::string_view kHostsPath = "/hosts/";
 
@@ -39,16 +39,16 @@
   return decoded;
 }
 
-AdminReply no_such_call() {
-  return {kNotFound, "no such call", {}};
+AdminReply unknown_path() {
+  return {kNotFound, "unknown path", {}};
 }
 
 AdminReply not_recorded() {
-  return {kInternalError, "it could not be recorded: nothing was changed", {}};
+  return {kInternalError, "the change could not be recorded on disk: nothing was changed", {}};
 }
 
-AdminReply wrong_method(const char* allowed) {
-  return {kMethodNotAllowed, std::string("this call is made with ") + allowed, allowed};
+AdminReply method_not_allowed(const char* allowed) {
+  return {kMethodNotAllowed, std::string("method not allowed: use ") + allowed, allowed};
 }
 
 }  // namespace
@@ -61,7 +61,7 @@
                    }),
       sibling_detector_(std::move(directory)) {
   for (const std::string& uid : maintenance_.hosts_in_maintenance()) {
-    controls_.log("host " + uid + " is out by an earlier call");
+    controls_.log("host " + uid + " is in maintenance by an earlier call");
   }
   refresh();
 }
@@ -79,14 +79,14 @@
   if (call.path.rfind(kHostsPath, 0) == 0) {
     return handle_host(std::string_view(call.path).substr(kHostsPath.size()), call);
   }
-  return no_such_call();
+  return unknown_path();
 }
 
 AdminReply AdminService::handle_healthcheck(const AdminCall& call) {
   if (call.method != "GET" && call.method != "HEAD") {
-    return wrong_method("GET");
+    return method_not_allowed("GET");
   }
-  if (!controls_.takes_clients()) {
+  if (!controls_.accepts_clients()) {
     return {kServiceUnavailable, "takes no clients", {}};
   }
   return {kOk, "takes clients", {}};
@@ -94,39 +94,39 @@
 
 AdminReply AdminService::handle_drain(const AdminCall& call, bool drained) {
   if (call.method != "POST") {
-    return wrong_method("POST");
+    return method_not_allowed("POST");
   }
   controls_.set_drained(drained);
-  return succeed(drained ? "gateway drained" : "gateway takes clients again");
+  return succeed(drained ? "gateway drained" : "gateway accepts clients again");
 }
 
 AdminReply AdminService::handle_host(std::string_view path, const AdminCall& call) {
   const std::size_t slash = path.rfind('/');
   const std::string_view action = slash == std::string_view::npos ? "" : path.substr(slash + 1);
   if (action != "maint" && action != "ready") {
-    return no_such_call();
+    return unknown_path();
   }
   const auto uid = percent_decoded(path.substr(0, slash));
   if (!uid) {
-    return {kBadRequest, "the host's id can't be read", {}};
+    return {kBadRequest, "the host id has an invalid percent-encoding", {}};
   }
   if (call.method != "POST") {
-    return wrong_method("POST");
+    return method_not_allowed("POST");
   }
   if (!listed_ids_.has(*uid) && !maintenance_.is_in_maintenance(*uid)) {
-    return {kNotFound, "no host of this id was ever listed", {}};
+    return {kNotFound, "discovery has never listed a host with this id", {}};
   }
   if (action == "maint") {
-    return maintenance_.start_maintenance(*uid) ? succeed("host " + *uid + " taken out")
+    return maintenance_.start_maintenance(*uid) ? succeed("host " + *uid + " put in maintenance")
                                                 : not_recorded();
   }
-  return maintenance_.end_maintenance(*uid) ? succeed("host " + *uid + " called back")
+  return maintenance_.end_maintenance(*uid) ? succeed("host " + *uid + " returned to service")
                                             : not_recorded();
 }
 
-AdminReply AdminService::succeed(const std::string& action) {
-  controls_.log("operator: " + action);
-  return {kOk, action, {}};
+AdminReply AdminService::succeed(const std::string& change) {
+  controls_.log("operator: " + change);
+  return {kOk, change, {}};
 }
 
 void AdminService::refresh() {
--- a/src/admin/admin_service.hpp
+++ b/src/admin/admin_service.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The operators' calls and the state that they set, independent of the sockets they come by.
+/// The operators' calls and the state that they set, independent of the HTTP server.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,35 +16,42 @@
 
 namespace gateway::admin {
 
-/// Answers calls by way of the gateway's controls. Used on the event loop's thread only.
+/// Handles operators' calls:
+/// - GET /healthcheck: 200 if the gateway accepts clients, otherwise 503.
+/// - POST /healthcheck/fail and /healthcheck/ok: drain the gateway, end draining.
+/// - POST /hosts/UID/maint and /hosts/UID/ready: begin and end the maintenance of a host.
+/// Used on the event loop's thread only.
 class AdminService {
  public:
-  /// What the service needs from the gateway, which must outlive it. Some are called from within
-  /// the constructor.
+  /// The service's access to the gateway, which must outlive the service. The last three may be
+  /// called from within the constructor.
   struct Controls {
-    std::function<bool()> takes_clients;
+    std::function<bool()> accepts_clients;
     std::function<void(bool drained)> set_drained;
     std::function<void(const std::string& uid, bool in_maintenance)> set_maintenance;
-    /// Another process of this gateway has started, or none runs any more.
+    /// Called when the first sibling process has started and when the last one has ended.
     std::function<void(bool has_sibling)> set_has_sibling;
     std::function<void(std::string)> log;
   };
 
-  /// `directory` is shared by the processes of one gateway; with an empty one nothing outlives this
-  /// process. `retention`: see MaintenanceStore. Throws std::system_error.
+  /// `directory` is shared by the processes of a gateway. If it is empty, state is kept in memory
+  /// only and siblings are not detected. `retention`: see MaintenanceStore. Throws
+  /// std::system_error if the directory can't be used.
   AdminService(std::string directory, std::chrono::seconds retention, Controls controls);
 
+  /// Executes a call and logs it if it changes the state.
   AdminReply handle(const AdminCall& call);
-  /// Discovery lists this host; calls for it are accepted from now on.
+  /// To be called for each host in an endpoint list: from then on, calls for the host are accepted.
   void on_endpoint_listed(const std::string& uid) { listed_ids_.add(uid); }
-  /// Reads what other processes of this gateway have changed.
+  /// Applies the changes that other processes of this gateway have recorded, and checks whether a
+  /// sibling runs.
   void refresh();
 
  private:
   AdminReply handle_healthcheck(const AdminCall& call);
   AdminReply handle_drain(const AdminCall& call, bool drained);
   AdminReply handle_host(std::string_view path, const AdminCall& call);
-  AdminReply succeed(const std::string& action);
+  AdminReply succeed(const std::string& change);
 
   Controls controls_;
   MaintenanceStore maintenance_;
@@ -53,8 +60,8 @@
   bool has_sibling_ = false;
 };
 
-/// Calls AdminService::refresh() periodically for as long as it lives, often enough for a call to
-/// one process to take effect in the others within a tenth of a second.
+/// Calls AdminService::refresh() every 50 ms until it is destroyed, so that a call to one process
+/// takes effect in its siblings within 0.1 s.
 class AdminStatePoller {
  public:
   /// The service must outlive the poller.
--- a/src/admin/bounded_id_set.hpp
+++ b/src/admin/bounded_id_set.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A set of identifiers that forgets the oldest ones beyond a fixed size.
+/// A set of ids with a limited size: beyond it, the ids that were added first are removed.
 #pragma once
 
 #include <cstddef>
@@ -12,16 +12,16 @@
 
 namespace gateway::admin {
 
-/// Remembers which hosts discovery has ever listed, so that an operator's call for any other host
-/// can be rejected as a mistake. Stores hashes only, some 32 bytes for each.
+/// Contains the ids of the hosts that discovery has listed, so that an operator's call for another
+/// host can be rejected as a mistake. Stores only a hash of each id, about 32 bytes.
 class BoundedIdSet {
  public:
-  /// Enough for the hosts of a fleet that is replaced continuously over a day.
+  /// Enough for a day in a fleet whose hosts are replaced continuously.
   static constexpr std::size_t kDefaultCapacity = 20000;
 
   explicit BoundedIdSet(std::size_t capacity = kDefaultCapacity) : capacity_(capacity) {}
 
-  /// An id that is in the set already keeps its age.
+  /// Adds an id. An id that is already in the set keeps its place in the order of removal.
   void add(std::string_view id) {
     const std::size_t hash = std::hash<std::string_view>{}(id);
     if (!hashes_.insert(hash).second) {
--- a/src/admin/file_descriptor.hpp
+++ b/src/admin/file_descriptor.hpp
@@ -8,10 +8,10 @@
 
 namespace gateway::admin {
 
-/// Closes its descriptor when destroyed.
+/// Owns a file descriptor and closes it when destroyed.
 class FileDescriptor {
  public:
-  /// Takes over `descriptor`; a negative one stands for none, as open() returns it on failure.
+  /// Takes ownership of `descriptor`. A negative value, as open() returns on failure, means none.
   explicit FileDescriptor(int descriptor = kNone) : descriptor_(descriptor) {}
   ~FileDescriptor() { close(); }
   FileDescriptor(FileDescriptor&& other) noexcept
@@ -28,8 +28,8 @@
 
   bool is_open() const { return descriptor_ >= 0; }
   int get() const { return descriptor_; }
-  /// Closes it now; false where there is none or closing reports an error. Leaves errno as close()
-  /// sets it.
+  /// Closes the descriptor now. Returns false if there is none or if ::close() fails; errno is then
+  /// as ::close() has set it.
   bool close() {
     const int descriptor = std::exchange(descriptor_, kNone);
     return descriptor >= 0 && ::close(descriptor) == 0;
--- a/src/admin/maintenance_store.cpp
+++ b/src/admin/maintenance_store.cpp
@@ -18,7 +18,7 @@
 
 namespace fs = std::filesystem;
 
-constexpr std::size_t kMaxFileNameLength = 255;  // of Linux file systems
+constexpr std::size_t kMaxFileNameLength = 255;  // limit of Linux file systems
 constexpr mode_t kFileMode = 0644;
 
 bool create_file(const std::string& path) {
@@ -46,19 +46,21 @@
     fs::create_directories(returned_directory_, ec);
   }
   if (ec) {
-    throw std::system_error(ec, "cannot keep the hosts taken out in " + directory);
+    throw std::system_error(ec, "cannot record the hosts in maintenance in " + directory);
   }
-  remove_expired();
-  // A host that returned recently was restarted, which the endpoint list may not show yet.
-  for (const std::string& uid : read(returned_directory_)) {
+  remove_expired_markers();
+  // A host that returned recently was restarted, which the endpoint list may not show yet. The end
+  // of its maintenance is reported again, so that it is treated as cold.
+  for (const std::string& uid : read_ids(returned_directory_)) {
     on_change_(uid, MaintenanceState::in_maintenance);
     on_change_(uid, MaintenanceState::in_service);
   }
   refresh();
 }
 
-// Only the file's name counts, so a file that is empty, half written or has other content is valid.
-std::set<std::string> MaintenanceStore::read(const std::string& directory) const {
+// The ids in the names of the marker files. The content of a file is ignored, so an empty or half
+// written file is valid. If the maintenance directory can't be read, the known state is returned.
+std::set<std::string> MaintenanceStore::read_ids(const std::string& directory) const {
   std::set<std::string> found;
   std::error_code ec;
   for (fs::directory_iterator it(directory, ec), end; !ec && it != end; it.increment(ec)) {
@@ -90,11 +92,11 @@
   if (!maintenance_directory_.empty()) {
     const std::string from = marker_path(maintenance_directory_, uid);
     const std::string to = marker_path(returned_directory_, uid);
-    ::utimensat(AT_FDCWD, from.c_str(), nullptr, 0);  // the retention counts from now
+    ::utimensat(AT_FDCWD, from.c_str(), nullptr, 0);  // the retention begins now
     if (::rename(from.c_str(), to.c_str()) != 0 && errno != ENOENT) {
       return false;
     }
-    remove_expired();
+    remove_expired_markers();
   }
   if (in_maintenance_.erase(uid) > 0) {
     on_change_(uid, MaintenanceState::in_service);
@@ -106,7 +108,7 @@
   if (maintenance_directory_.empty()) {
     return;
   }
-  const std::set<std::string> found = read(maintenance_directory_);
+  const std::set<std::string> found = read_ids(maintenance_directory_);
   if (found == in_maintenance_) {
     return;
   }
@@ -123,10 +125,10 @@
   }
 }
 
-void MaintenanceStore::remove_expired() {
+void MaintenanceStore::remove_expired_markers() {
   std::error_code ec;
   const auto now = fs::file_time_type::clock::now();
-  for (const std::string& uid : read(returned_directory_)) {
+  for (const std::string& uid : read_ids(returned_directory_)) {
     const std::string path = marker_path(returned_directory_, uid);
     const auto returned_at = fs::last_write_time(path, ec);
     if (!ec && now - returned_at > retention_) {
--- a/src/admin/marker_file_name.cpp
+++ b/src/admin/marker_file_name.cpp
@@ -3,7 +3,7 @@
 namespace gateway::admin {
 namespace {
 
-constexpr std::string_view kPrefix = "host-";  // tells marker files from any other files
+constexpr std::string_view kPrefix = "host-";  // distinguishes marker files from other files
 
 bool is_unescaped(char c) {
   return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || c == '-' ||
@@ -20,7 +20,7 @@
   return std::nullopt;
 }
 
-/// The byte of an escape such as "%2e" at the beginning of `text`.
+/// Decodes an escape such as "%2e" at the beginning of `text`; empty if there is none.
 std::optional<char> unescape(std::string_view text) {
   if (text.size() < 3 || text[0] != '%') {
     return std::nullopt;
@@ -67,7 +67,7 @@
     id += *byte;
     rest.remove_prefix(3);
   }
-  // Each id has one name only: an escape that is not needed is not accepted.
+  // An id has exactly one valid name: a name with an unnecessary escape is rejected.
   if (id.empty() || file_name_of(id) != name) {
     return std::nullopt;
   }
--- a/src/admin/sibling_detector.cpp
+++ b/src/admin/sibling_detector.cpp
@@ -15,7 +15,7 @@
 namespace fs = std::filesystem;
 
 constexpr const char* kFilePrefix = "process-";
-constexpr std::size_t kRandomSuffixLength = 6;  // that mkostemp() fills in
+constexpr std::size_t kRandomSuffixLength = 6;  // the "XXXXXX" that mkostemp() replaces
 
 std::system_error last_error(const std::string& message) {
   return {errno, std::generic_category(), message};
@@ -23,7 +23,7 @@
 
 enum class LockState { locked, unlocked, unknown };
 
-/// Removes the file where no process has it locked.
+/// Returns the state of the file's lock and removes the file if no process has locked it.
 LockState check_lock(const std::string& path) {
   const FileDescriptor file(::open(path.c_str(), O_RDONLY | O_CLOEXEC));
   if (!file.is_open()) {
@@ -38,14 +38,14 @@
 
 }  // namespace
 
-// The file is created under a hidden name and renamed once it is locked; otherwise a sibling could
-// find it unlocked and remove it.
+// The file is created under a hidden name and renamed after it is locked. Otherwise a sibling could
+// find the file before it is locked and remove it.
 SiblingDetector::SiblingDetector(std::string directory) : directory_(std::move(directory)) {
   if (directory_.empty()) {
     return;
   }
   directory_ += "/processes";
-  std::error_code ignored;  // mkostemp() reports a directory that is missing
+  std::error_code ignored;  // if the directory is missing, mkostemp() reports it
   fs::create_directories(directory_, ignored);
   std::string name = directory_ + "/.new-XXXXXX";
   lock_ = FileDescriptor(::mkostemp(name.data(), O_CLOEXEC));
@@ -61,7 +61,7 @@
 
 SiblingDetector::~SiblingDetector() {
   if (lock_.is_open()) {
-    ::unlink(own_path_.c_str());  // before the lock is released
+    ::unlink(own_path_.c_str());  // while the file is still locked
   }
 }
 
--- a/src/admin/sibling_detector.hpp
+++ b/src/admin/sibling_detector.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Detects another process of the same gateway, as it runs while a new version takes over.
+/// Detects another running process of the same gateway. Two processes run while a new version
+/// replaces the old one.
 #pragma once
 
 #include <string>
@@ -8,18 +9,18 @@
 
 namespace gateway::admin {
 
-/// Each process locks a file of its own in a shared directory. The operating system releases the
-/// lock when the process ends, however it ends.
+/// Each process creates and locks a file in a shared directory. The operating system releases the
+/// lock when the process ends, even if it is killed.
 class SiblingDetector {
  public:
-  /// Creates and locks this process's file under `directory`; with an empty name no sibling is ever
-  /// detected. Throws std::system_error where the file cannot be created or locked.
+  /// Creates and locks this process's file under `directory`. If `directory` is empty, no sibling
+  /// is ever detected. Throws std::system_error if the file can't be created or locked.
   explicit SiblingDetector(std::string directory);
   ~SiblingDetector();
   SiblingDetector(const SiblingDetector&) = delete;
   SiblingDetector& operator=(const SiblingDetector&) = delete;
 
-  /// Whether a sibling runs at this moment. Removes the files of processes that have ended.
+  /// Whether a sibling is running. Removes the files of processes that have ended.
   bool has_sibling();
 
  private:
--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -25,13 +25,13 @@
 /// Fields that the environment can set as well as the file.
 class OverridableFields {
  public:
-  OverridableFields(const json& document, const Environment& environment, ConfigSource source)
-      : document_(document), environment_(environment), source_(source) {}
+  OverridableFields(const json& document, const Environment& environment, LoadReason reason)
+      : document_(document), environment_(environment), reason_(reason) {}
 
   /// Empty where neither source sets the field.
   std::string text(const char* field, const char* variable) const {
     const char* value = environment_(variable);
-    if (value && (source_ == ConfigSource::at_start || !document_.contains(field))) {
+    if (value && (reason_ == LoadReason::startup || !document_.contains(field))) {
       return value;
     }
     std::string text;
@@ -63,7 +63,7 @@
  private:
   const json& document_;
   const Environment& environment_;
-  ConfigSource source_;
+  LoadReason reason_;
 };
 
 std::optional<int> read_passed_socket(const char* text) {
@@ -81,9 +81,9 @@
 }
 
 void read_limits(const json& limits, Config& config) {
-  read_field(limits, "sockets", config.sockets);
+  read_field(limits, "sockets", config.max_descriptors);
   read_field(limits, "memory_mb", config.memory_mb);
-  if (config.sockets < kMinSockets) {
+  if (config.max_descriptors < kMinSockets) {
     throw field_error("sockets", "at least 64 are needed", "at least 64");
   }
   if (config.memory_mb == 0) {
@@ -113,11 +113,11 @@
 
 }  // namespace
 
-Config parse_config(const json& document, const Environment& environment, ConfigSource source) {
+Config parse_config(const json& document, const Environment& environment, LoadReason reason) {
   if (!document.is_object()) {
     throw ConfigError("the configuration is no object", {{}, "is no object", "an object"});
   }
-  const OverridableFields fields(document, environment, source);
+  const OverridableFields fields(document, environment, reason);
   Config config;
   config.name = fields.text("name", "GW_NAME");
   config.listen = fields.endpoint("listen", "GW_LISTEN");
@@ -125,21 +125,21 @@
   config.admin = fields.optional_endpoint("admin_addr", "GW_ADMIN_ADDR");
   config.passed_socket = read_passed_socket(environment("GW_PASSED_SOCKET"));
   const json& settings = object_field(document, "settings");
-  config.module = read_settings(settings);
+  config.balancer_settings = read_settings(settings);
   std::string seed;
   read_field(document, "seed", seed);
   if (!seed.empty()) {
-    config.module.seed = read_seed(seed);
+    config.balancer_settings.seed = read_seed(seed);
   }
   read_limits(object_field(document, "limits"), config);
   config.connect_timeout = kDefaultConnectTimeout;
   read_field(object_field(settings, "ceilings"), "connectTimeoutNs", config.connect_timeout);
-  config.known = read_known_endpoints(document);
-  validate_settings(config.module);
+  config.known_endpoints = read_known_endpoints(document);
+  validate_settings(config.balancer_settings);
   return config;
 }
 
-Config load_config(const Environment& environment, ConfigSource source) {
+Config load_config(const Environment& environment, LoadReason reason) {
   const char* path = environment("GW_CONFIG");
   if (!path) {
     throw ConfigError("GW_CONFIG is not set",
@@ -154,7 +154,7 @@
     if (document.is_discarded()) {
       throw ConfigError(std::string(path) + " holds no JSON", {{}, "holds no JSON", "JSON"});
     }
-    return parse_config(document, environment, source);
+    return parse_config(document, environment, reason);
   } catch (ConfigError& error) {
     error.set_file(path);
     throw;
--- a/src/discovery/discovery_call.cpp
+++ b/src/discovery/discovery_call.cpp
@@ -13,11 +13,11 @@
 using boost::system::error_code;
 using tcp = asio::ip::tcp;
 
-/// Bytes of one response: enough for some ten thousand endpoints.
+/// Enough for the list of about ten thousand endpoints.
 constexpr std::uint64_t kMaxResponseBytes = 4 << 20;
-constexpr unsigned kHttp11 = 11;  // as Beast writes the version
+constexpr unsigned kHttp11 = 11;  // HTTP/1.1 in Beast's notation
 
-/// Nothing for a response that is not an endpoint list.
+/// The endpoint list in a response; empty if the response does not contain a valid list.
 std::optional<EndpointList> decode(const beast_http::response<beast_http::string_body>& response) {
   if (response.result() != beast_http::status::ok) {
     return std::nullopt;
@@ -59,7 +59,7 @@
                server_.address().to_string() + ":" + std::to_string(server_.port()));
   parser_.emplace();
   parser_->body_limit(kMaxResponseBytes);
-  // Without a timeout a server that stops responding would block the watch for ever.
+  // Without a timeout a server that does not respond would block the watch permanently.
   set_timeout(request.timeout);
   if (socket_.is_open()) {
     return write();
--- a/src/discovery/discovery_call.hpp
+++ b/src/discovery/discovery_call.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One HTTP connection to a discovery server with the request on it.
+/// An HTTP connection to a discovery server and the request in flight on it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,28 +20,28 @@
 
 namespace gateway::discovery {
 
-/// What a request asks discovery for.
+/// Which endpoints a request asks for, and when discovery responds.
 enum class RequestKind {
-  full_list,    ///< All endpoints.
-  watch_start,  ///< Changes since the known version, answered at once.
-  long_poll     ///< Changes since the known version, answered when there are some.
+  full_list,    ///< All endpoints, without delay.
+  watch_start,  ///< Changes since the known version, without delay, even if there are none.
+  long_poll     ///< Changes since the known version, as soon as there are any.
 };
 
-/// Sends one request at a time; the connection is reused for the next one as long as both sides
-/// keep it open. Owned by shared_ptr: pending operations keep the object alive until they complete.
-/// Used on the event loop's thread only.
+/// Sends one request at a time and decodes the response to an endpoint list. The connection is
+/// reused for the next request as long as both sides keep it open. Owned by shared_ptr: pending
+/// operations keep the object alive until they complete. Used on the event loop's thread only.
 class DiscoveryCall : public std::enable_shared_from_this<DiscoveryCall> {
  public:
   using Pointer = std::shared_ptr<DiscoveryCall>;
 
-  /// Receives what becomes of a call; must outlive it or cancel() it first.
+  /// Receives the result of a call. It must outlive the call, unless it has called cancel().
   class Observer {
    public:
-    /// The call's timeout has passed. True: the observer keeps the call open and has given it
-    /// another timeout. False: the call fails.
+    /// The call's timeout has passed. Returns true to keep the call open; the observer has then set
+    /// another timeout. Returns false to let the call fail.
     virtual bool on_call_overdue(const Pointer& call) = 0;
-    /// The call has ended. No list: it failed, or its response was not an endpoint list; its
-    /// connection is closed then.
+    /// The call has ended. Without a list it has failed, or its response was not an endpoint list;
+    /// the connection is then closed.
     virtual void on_call_finished(const Pointer& call, const std::optional<EndpointList>& list) = 0;
 
    protected:
@@ -50,25 +50,25 @@
 
   struct Request {
     RequestKind kind = RequestKind::full_list;
-    std::string target;       ///< Path with query.
-    std::uint64_t epoch = 0;  ///< The client's version epoch when the request is sent.
-    std::chrono::milliseconds timeout{};
+    std::string target;                   ///< Path with query.
+    std::uint64_t epoch = 0;              ///< The client's version epoch when the request is sent.
+    std::chrono::milliseconds timeout{};  ///< After this time the call is overdue.
   };
 
   DiscoveryCall(boost::asio::io_context& io, runtime::Clock& clock,
                 boost::asio::ip::tcp::endpoint server, Observer& observer);
 
-  /// Sends the request, after connecting where no connection is open.
+  /// Sends the request; connects first if no connection is open. No other request may be in flight.
   void start(const Request& request);
-  /// Closes the connection; the observer is not called any more.
+  /// Closes the connection and stops all calls to the observer. Can't be undone.
   void cancel();
-  /// Replaces the running timeout by one that begins now.
+  /// Replaces the current timeout by one that begins now.
   void set_timeout(std::chrono::milliseconds timeout);
 
   bool is_connected() const { return socket_.is_open(); }
   RequestKind kind() const { return kind_; }
   std::uint64_t epoch() const { return epoch_; }
-  /// Whether it was started because the call before it was overdue or failed. start() resets it.
+  /// Whether this call repeats one that was overdue or has failed. Reset by start().
   bool is_retry() const { return is_retry_; }
   void mark_as_retry() { is_retry_ = true; }
 
--- a/src/discovery/discovery_client.cpp
+++ b/src/discovery/discovery_client.cpp
@@ -11,25 +11,25 @@
 using tcp = asio::ip::tcp;
 
 constexpr const char* kPath = "/discovery/hosts";
-/// How long discovery may delay the response to the first request of a watch. Practically none, so
-/// that the load balancer learns immediately that the watch is running.
+/// How long discovery may delay the response to the first request of a watch. Practically not at
+/// all: the response informs the load balancer immediately that the watch is running.
 constexpr std::chrono::milliseconds kWatchStartWait{1};
 
-void cancel_and_reset(DiscoveryCall::Pointer& slot) {
-  if (const DiscoveryCall::Pointer call = std::exchange(slot, nullptr)) {
-    call->cancel();
+void cancel_and_reset(DiscoveryCall::Pointer& call) {
+  if (const DiscoveryCall::Pointer cancelled = std::exchange(call, nullptr)) {
+    cancelled->cancel();
   }
 }
 
 }  // namespace
 
 DiscoveryClient::DiscoveryClient(asio::io_context& io, runtime::Clock& clock, tcp::endpoint server,
-                                 Callbacks callbacks, Waits waits)
+                                 Callbacks callbacks, Timeouts timeouts)
     : io_(io),
       clock_(clock),
       server_(std::move(server)),
       callbacks_(std::move(callbacks)),
-      waits_(waits) {}
+      timeouts_(timeouts) {}
 
 DiscoveryClient::~DiscoveryClient() {
   stop();
@@ -41,21 +41,21 @@
 }
 
 void DiscoveryClient::stop() {
-  current_.cancel();
+  current_calls_.cancel();
   new_server_calls_.cancel();
 }
 
-// A running call is never replaced by a new one: where discovery responds more slowly than the
-// settings make the load balancer poll, no call would ever be answered.
+// A call within its timeout is not replaced. If it were, no call would ever get a response while
+// discovery responds more slowly than the poll interval of the load balancer's settings.
 void DiscoveryClient::watch() {
-  const ServerCalls& calls = new_server_ ? new_server_calls_ : current_;
+  const ServerCalls& calls = new_server_ ? new_server_calls_ : current_calls_;
   if (calls.active) {
     return;
   }
   if (new_server_) {
     return request_from_new_server();
   }
-  request_initial();
+  start_watch();
 }
 
 void DiscoveryClient::switch_server(const tcp::endpoint& server) {
@@ -67,13 +67,13 @@
   request_from_new_server();
 }
 
-void DiscoveryClient::request_initial() {
-  request(version_ ? RequestKind::watch_start : RequestKind::full_list);
+void DiscoveryClient::start_watch() {
+  request_from_current_server(version_ ? RequestKind::watch_start : RequestKind::full_list);
 }
 
-void DiscoveryClient::request(RequestKind kind) {
-  start_call(current_.active, server_, kind,
-             kind == RequestKind::long_poll ? waits_.watch : kWatchStartWait);
+void DiscoveryClient::request_from_current_server(RequestKind kind) {
+  start_call(current_calls_.active, server_, kind,
+             kind == RequestKind::long_poll ? timeouts_.long_poll_wait : kWatchStartWait);
 }
 
 void DiscoveryClient::request_from_new_server() {
@@ -92,21 +92,21 @@
   if (kind != RequestKind::full_list) {
     target += "?since=" + std::to_string(*version_) + "&timeout_ms=" + std::to_string(wait.count());
   }
-  const auto timeout = kind == RequestKind::long_poll ? wait + waits_.answer : waits_.at_once;
+  const auto timeout =
+      kind == RequestKind::long_poll ? wait + timeouts_.long_poll_margin : timeouts_.call_timeout;
   call->start({kind, std::move(target), epoch_, timeout});
 }
 
 bool DiscoveryClient::on_call_overdue(const CallPointer& call) {
   const bool to_new_server = call == new_server_calls_.active;
-  if (!to_new_server && (call != current_.active || new_server_)) {
-    return false;  // overdue for the second time, or its server is about to be replaced
+  if (!to_new_server && (call != current_calls_.active || new_server_)) {
+    return false;  // overdue for the second time, or a switch to another server is in progress
   }
-  ServerCalls& calls = to_new_server ? new_server_calls_ : current_;
+  ServerCalls& calls = to_new_server ? new_server_calls_ : current_calls_;
   cancel_and_reset(calls.overdue);
   calls.overdue = std::exchange(calls.active, nullptr);
-  call->set_timeout(waits_.overdue);
-  // Two overdue calls in a row mean that the server is down; the load balancer decides when to
-  // try again.
+  call->set_timeout(timeouts_.overdue_timeout);
+  // Two overdue calls in a row: the server is down. The load balancer schedules the next watch.
   if (call->is_retry()) {
     callbacks_.on_failure();
     return true;
@@ -114,7 +114,7 @@
   if (to_new_server) {
     request_from_new_server();
   } else {
-    request_initial();
+    start_watch();
   }
   calls.active->mark_as_retry();
   return true;
@@ -125,40 +125,40 @@
   if (call == new_server_calls_.active || call == new_server_calls_.overdue) {
     return on_new_server_finished(call, list);
   }
-  if (call == current_.overdue) {
+  if (call == current_calls_.overdue) {
     return on_overdue_finished(call, list);
   }
   const RequestKind kind = call->kind();
   if (new_server_ && (!list || (!list->full && list->version < version_.value_or(0)))) {
-    // The load balancer is not notified: it would start another watch and so cancel the call to
-    // the new server.
-    current_.active.reset();
+    // Not reported as a failure: fail_watch() would cancel the call to the new server.
+    current_calls_.active.reset();
     call->cancel();
     return;
   }
   if (!list) {
-    return fail();
+    return fail_watch();
   }
-  // A lower version means that discovery was restarted and counts from the beginning. Changes to a
-  // list that the gateway does not have would leave removed hosts in its own list for good.
+  // A lower version means that discovery was restarted and its version numbers start again. A delta
+  // to a list that the gateway does not have is discarded: hosts that were removed before it would
+  // stay in the gateway's list permanently.
   const bool versions_restarted = version_ && list->version < *version_;
   if (versions_restarted) {
     ++epoch_;
   }
   if (!list->full && (kind == RequestKind::full_list || versions_restarted)) {
     version_.reset();
-    return fail();
+    return fail_watch();
   }
   version_ = list->version;
-  request(RequestKind::long_poll);
+  request_from_current_server(RequestKind::long_poll);
   callbacks_.on_endpoint_update(*list);
 }
 
-// The call beside it may have brought a newer list already. Changes of another epoch, or to a list
-// that the gateway does not have, cannot be applied.
+// The parallel call may already have returned a newer list. A list of an earlier epoch, or a delta
+// to a list that the gateway does not have, cannot be applied.
 void DiscoveryClient::on_overdue_finished(const CallPointer& call,
                                           const std::optional<EndpointList>& list) {
-  current_.overdue.reset();
+  current_calls_.overdue.reset();
   call->cancel();
   if (!list || call->epoch() != epoch_) {
     return;
@@ -171,7 +171,8 @@
   callbacks_.on_endpoint_update(*list);
 }
 
-// The known endpoints stay, and so does the watch on the old server, until there is a full list.
+// The known endpoints and the watch on the previous server stay in use until the new server has
+// sent a full list.
 void DiscoveryClient::on_new_server_finished(const CallPointer& call,
                                              const std::optional<EndpointList>& list) {
   const bool was_overdue = call == new_server_calls_.overdue;
@@ -186,26 +187,26 @@
   if (call->is_retry()) {
     return callbacks_.on_failure();
   }
-  // The new server's list must be in force 4 s after the switch. That leaves no time for the load
+  // The new server's list must be in force 4 s after the switch. This leaves no time for the load
   // balancer's backoff, so the first failed call is repeated immediately.
   request_from_new_server();
   new_server_calls_.active->mark_as_retry();
 }
 
 void DiscoveryClient::adopt_new_server(const CallPointer& call, const EndpointList& list) {
-  current_.cancel();
+  current_calls_.cancel();
   new_server_calls_.cancel();
-  current_.active = call;
+  current_calls_.active = call;
   server_ = *new_server_;
   new_server_.reset();
   version_ = list.version;
-  ++epoch_;  // each server has versions of its own
-  request(RequestKind::long_poll);
+  ++epoch_;  // each server has its own version numbers
+  request_from_current_server(RequestKind::long_poll);
   callbacks_.on_endpoint_update(list);
 }
 
-void DiscoveryClient::fail() {
-  cancel_and_reset(current_.active);
+void DiscoveryClient::fail_watch() {
+  cancel_and_reset(current_calls_.active);
   cancel_and_reset(new_server_calls_.active);
   callbacks_.on_failure();
 }
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Keeps a watch on the discovery server's endpoint list. When to begin another watch after a
-/// failure is decided by the load balancer.
+/// Client of the discovery server: fetches the endpoint list and watches it for changes. After a
+/// failure the load balancer decides when the next watch begins.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,54 +16,57 @@
 
 namespace gateway::discovery {
 
-/// Fetches the endpoint list, then polls for changes. Used on the event loop's thread only; the
-/// io_context and the clock must outlive it.
+/// Requests the endpoint list, or the changes since a known version, then long-polls for further
+/// changes. Used on the event loop's thread only; the io_context and the clock must outlive it.
 ///
-/// A call that is not answered within its timeout is overdue: it stays open, so that its response
-/// is still used, and a second call is sent in parallel. If that one is overdue as well, or a call
-/// fails, the watch has failed; the load balancer then calls watch() within 1.65 s, rounded up to
-/// its clock's step of 0.1 s.
+/// A call without a response within its timeout is overdue: it stays open, so that a late response
+/// is still used, and a second call is sent in parallel. If the second call is overdue too, or a
+/// call fails, the watch has failed. The load balancer then has watch() called within 1.65 s,
+/// rounded up to the next step of its clock (0.1 s).
 ///
-/// The timeouts below come from how soon a change must be in force when discovery is busy and
-/// answers up to 2.01 s late (discovery_paths_test checks each path; a draining endpoint has 0.5 s
-/// more):
-/// - A long poll that is never answered: 0.4 + 2.01 s after its wait has passed; allowed 2 s, plus
-///   the 0.5 s.
-/// - A first call that is never answered: 2.1 + 2.01 s; allowed 4 s after a reload, plus the 0.5 s.
-///   A first call that fails is repeated immediately.
-/// - Two calls never answered, then a failure: 2.1 + 1.65 + 0.1 + 2.01 s after the last lost call;
-///   allowed 6 s after discovery can be reached.
+/// The default timeouts follow from the deadlines for putting a change in force while a busy
+/// discovery server responds 2.01 s late. For a draining endpoint 0.5 s more is allowed.
+/// discovery_paths_test checks each path:
+/// - A long poll without a response: the change is in force 0.4 + 2.01 s after the end of
+///   `long_poll_wait`; allowed are 2 s + 0.5 s.
+/// - The first call to a new server after a reload without a response: 2.1 + 2.01 s after the
+///   reload; allowed are 4 s + 0.5 s. If that call fails, it is repeated immediately.
+/// - Two calls in a row without a response, which is a failure of the watch:
+///   2.1 + 1.65 + 0.1 + 2.01 s after the second of them; allowed are 6 s after discovery becomes
+///   reachable.
 class DiscoveryClient : private DiscoveryCall::Observer {
  public:
   struct Callbacks {
     std::function<void(const EndpointList&)> on_endpoint_update;
-    std::function<void()> on_failure;  ///< No watch is running until the next watch().
+    std::function<void()> on_failure;  ///< The watch has failed; the next one begins with watch().
   };
 
-  struct Waits {
-    /// How long discovery may delay the response to a long poll.
-    std::chrono::milliseconds watch{20000};
-    /// A long poll is overdue this much after `watch`.
-    std::chrono::milliseconds answer{400};
+  struct Timeouts {
+    /// How long discovery may delay the response to a long poll while nothing changes.
+    std::chrono::milliseconds long_poll_wait{20000};
+    /// A long poll is overdue this long after the end of `long_poll_wait`.
+    std::chrono::milliseconds long_poll_margin{400};
     /// Any other call is overdue after this time.
-    std::chrono::milliseconds at_once{2100};
-    /// How much longer an overdue call stays open. Discovery counts a response as received once
-    /// it is written, so closing the connection earlier could lose a change for good.
-    std::chrono::milliseconds overdue{2500};
+    std::chrono::milliseconds call_timeout{2100};
+    /// How long an overdue call stays open after its timeout. Discovery takes a response as
+    /// received once it has written it, so a call closed earlier could lose a change permanently.
+    std::chrono::milliseconds overdue_timeout{2500};
   };
 
-  /// Sends nothing until watch(). Callbacks run on the event loop, never within the constructor.
+  /// Sends nothing before watch(). Callbacks run on the event loop, never in the constructor.
   DiscoveryClient(boost::asio::io_context& io, runtime::Clock& clock,
-                  boost::asio::ip::tcp::endpoint server, Callbacks callbacks, Waits waits);
+                  boost::asio::ip::tcp::endpoint server, Callbacks callbacks, Timeouts timeouts);
   ~DiscoveryClient();
   DiscoveryClient(const DiscoveryClient&) = delete;
   DiscoveryClient& operator=(const DiscoveryClient&) = delete;
 
-  /// The version of a list that the gateway already has: the watch asks for changes since then.
+  /// Sets the version of the endpoint list that the gateway already has; the watch requests only
+  /// the changes since that version. Call it before watch().
   void set_known_version(std::int64_t version) { version_ = version; }
-  /// Begins a watch; does nothing while a call is running.
+  /// Begins a watch. No effect while a call to the server is within its timeout.
   void watch();
-  /// Changes the server. The watch on the old one goes on until the new one has sent a full list.
+  /// Changes the server. The watch on the previous server continues until the new server has sent
+  /// a full list.
   void switch_server(const boost::asio::ip::tcp::endpoint& server);
   /// Cancels all calls; no callback follows.
   void stop();
@@ -71,10 +74,10 @@
  private:
   using CallPointer = DiscoveryCall::Pointer;
 
-  /// The calls to one server.
+  /// The calls to a server; null where there is none.
   struct ServerCalls {
     CallPointer active;   // within its timeout
-    CallPointer overdue;  // past it, but its response is still used
+    CallPointer overdue;  // past its timeout; a late response is still used
     void cancel();
   };
 
@@ -83,24 +86,24 @@
   void on_overdue_finished(const CallPointer& call, const std::optional<EndpointList>& list);
   void on_new_server_finished(const CallPointer& call, const std::optional<EndpointList>& list);
   void adopt_new_server(const CallPointer& call, const EndpointList& list);
-  void request(RequestKind kind);
-  void request_initial();
+  void request_from_current_server(RequestKind kind);
+  void start_watch();
   void request_from_new_server();
   void start_call(CallPointer& call, const boost::asio::ip::tcp::endpoint& server, RequestKind kind,
                   std::chrono::milliseconds wait);
-  void fail();
+  void fail_watch();
 
   boost::asio::io_context& io_;
   runtime::Clock& clock_;
   boost::asio::ip::tcp::endpoint server_;
   Callbacks callbacks_;
-  Waits waits_;
-  std::optional<std::int64_t> version_;  // of the list that the gateway has
-  // Incremented where the server's versions start again. Responses to requests of an earlier epoch
-  // are ignored, as their versions cannot be compared.
+  Timeouts timeouts_;
+  std::optional<std::int64_t> version_;  // of the gateway's endpoint list; none: no list yet
+  // Incremented when the version numbers start again (discovery was restarted or replaced). Late
+  // responses to requests of an earlier epoch are ignored: their versions are not comparable.
   std::uint64_t epoch_ = 0;
-  ServerCalls current_;
-  std::optional<boost::asio::ip::tcp::endpoint> new_server_;  // while switching
+  ServerCalls current_calls_;
+  std::optional<boost::asio::ip::tcp::endpoint> new_server_;  // set during a switch
   ServerCalls new_server_calls_;
 };
 
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -23,17 +23,18 @@
   if (state == "DELETED") {
     return ListedEndpointState::removed;
   }
-  throw std::invalid_argument("unknown state '" + state + "'");
+  throw std::invalid_argument("unknown state '" + state +
+                              "'; expected SERVING, DRAINING or DELETED");
 }
 
 ListedEndpoint parse_host(const nlohmann::json& target) {
   ListedEndpoint host;
   host.uid = target.at("uid").get<std::string>();
   if (host.uid.empty()) {
-    throw std::invalid_argument("a host has no uid");
+    throw std::invalid_argument("a host has an empty uid");
   }
   host.state = parse_state(target.at("state").get<std::string>());
-  // A removed host needs no address.
+  // The address of a removed host is optional.
   if (host.state != ListedEndpointState::removed || target.contains("endpoint")) {
     host.endpoint = parse_endpoint(target.at("endpoint").get<std::string>());
   }
@@ -73,7 +74,7 @@
     }
     return list;
   } catch (const nlohmann::json::exception& error) {
-    throw std::invalid_argument(std::string("host list: ") + error.what());
+    throw std::invalid_argument(std::string("endpoint list: ") + error.what());
   }
 }
 
--- a/src/gateway/gateway.cpp
+++ b/src/gateway/gateway.cpp
@@ -42,12 +42,12 @@
     : clock_(overrides.clock ? overrides.clock : std::make_shared<runtime::SystemClock>(io)),
       start_(clock_->now()),
       unix_start_(std::chrono::system_clock::now()),
-      settings_(config.module),
+      settings_(config.balancer_settings),
       config_(config),
       overrides_(overrides),
-      request_mapper_(config.module),
+      request_mapper_(config.balancer_settings),
       log_(std::move(log)),
-      balancer_(config.module, now()),
+      balancer_(config.balancer_settings, now()),
       upstream_pool_(
           io, upstream_limits(config, ProcessRole::sole),
           [this](http::AttemptCompletion completion) {
@@ -81,12 +81,13 @@
                         }},
                        buffer_budget_) {
   apply_limits();
-  if (config.known) {
-    discovery_.set_known_version(config.known->version);
+  if (config.known_endpoints) {
+    discovery_.set_known_version(config.known_endpoints->version);
   }
   // The balancer polls discovery once it has an endpoint list, even an empty one.
-  on_endpoint_update(config.known ? *config.known : discovery::EndpointList{0, true, {}},
-                     EndpointUpdateKind::restored);
+  on_endpoint_update(
+      config.known_endpoints ? *config.known_endpoints : discovery::EndpointList{0, true, {}},
+      EndpointUpdateKind::restored);
   if (!socket_is_shared_) {
     return;
   }
@@ -498,8 +499,8 @@
 
 void Gateway::join_fleet(FleetHooks hooks) {
   fleet_hooks_ = std::move(hooks);
-  if (config_.known) {
-    report_endpoints_to_fleet(*config_.known, EndpointUpdateKind::restored);
+  if (config_.known_endpoints) {
+    report_endpoints_to_fleet(*config_.known_endpoints, EndpointUpdateKind::restored);
   }
   update_retry_allowance();
 }
--- a/src/gateway/gateway.hpp
+++ b/src/gateway/gateway.hpp
@@ -45,7 +45,7 @@
   /// Limits, time limits and the clock; the program uses the defaults, tests change them.
   struct Overrides {
     http::ClientListener::Limits clients;
-    discovery::DiscoveryClient::Waits discovery;
+    discovery::DiscoveryClient::Timeouts discovery;
     /// Used by the balancer, discovery, stop() and kEndpointListTimeout. Null: the system's clock.
     std::shared_ptr<runtime::Clock> clock;
   };
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -26,8 +26,8 @@
   std::cerr << line << '\n';
 }
 
-gateway::config::Config read_config(gateway::config::ConfigSource source) {
-  return gateway::config::load_config([](const char* name) { return std::getenv(name); }, source);
+gateway::config::Config read_config(gateway::config::LoadReason reason) {
+  return gateway::config::load_config([](const char* name) { return std::getenv(name); }, reason);
 }
 
 // Reloads the configuration on each SIGHUP. An invalid configuration is logged, and the previous
@@ -38,7 +38,7 @@
       return;
     }
     try {
-      gateway.reload(read_config(gateway::config::ConfigSource::again));
+      gateway.reload(read_config(gateway::config::LoadReason::reload));
       log("configuration read again");
     } catch (const std::exception& error) {
       log(std::string("configuration not taken: ") + error.what());
@@ -94,13 +94,13 @@
   // Before anything that takes time: without these handlers a signal ends the process at once.
   boost::asio::signal_set stop_signals(io, SIGTERM, SIGINT);
   boost::asio::signal_set hangup_signals(io, SIGHUP);
-  const gateway::config::Config config = read_config(gateway::config::ConfigSource::at_start);
+  const gateway::config::Config config = read_config(gateway::config::LoadReason::startup);
   std::optional<gateway::fleet_agent::Config> fleet_config = read_fleet_config(config);
   std::optional<gateway::fleet_agent::FleetAgent> agent;  // outlives the gateway, which calls it
   gateway::Gateway gateway(io, config, {}, log);
   gateway::admin::AdminService admin_service(
       state_directory(config),
-      std::chrono::ceil<std::chrono::seconds>(config.module.warmup_duration),
+      std::chrono::ceil<std::chrono::seconds>(config.balancer_settings.warmup_duration),
       {[&] { return gateway.is_available(); }, [&](bool drained) { gateway.set_drained(drained); },
        [&](const std::string& uid, bool in_maintenance) {
          gateway.set_maintenance(uid, in_maintenance);
--- a/src/gateway/resource_limits.cpp
+++ b/src/gateway/resource_limits.cpp
@@ -24,7 +24,7 @@
 constexpr std::size_t kExtraClientConnections = 8;
 
 std::size_t fifths_of_descriptors(const config::Config& config, std::size_t fifths) {
-  return (config.sockets - kReservedDescriptors) * fifths / 5;
+  return (config.max_descriptors - kReservedDescriptors) * fifths / 5;
 }
 
 }  // namespace
@@ -34,15 +34,15 @@
 http::UpstreamPool::Limits upstream_limits(const config::Config& config, ProcessRole role) {
   std::size_t connections = fifths_of_descriptors(config, kUpstreamFifths);
   if (role == ProcessRole::one_of_two) {
-    const std::size_t clients = config.sockets / kClientDivisor;
-    connections = (config.sockets - clients - 2 * kReservedDescriptors) / 2;
+    const std::size_t clients = config.max_descriptors / kClientDivisor;
+    connections = (config.max_descriptors - clients - 2 * kReservedDescriptors) / 2;
   }
-  return {connections, config.connect_timeout, config.module.idle_connection_timeout};
+  return {connections, config.connect_timeout, config.balancer_settings.idle_connection_timeout};
 }
 
 http::ClientListener::Limits client_limits(const config::Config& config,
                                            http::ClientListener::Limits limits, ProcessRole role) {
-  const std::size_t client_third = config.sockets / kClientDivisor;
+  const std::size_t client_third = config.max_descriptors / kClientDivisor;
   const std::size_t connections = role == ProcessRole::one_of_two
                                       ? client_third + kExtraClientConnections
                                       : fifths_of_descriptors(config, kClientFifths);
--- a/src/load_balancer/discovery_poller.cpp
+++ b/src/load_balancer/discovery_poller.cpp
@@ -5,8 +5,8 @@
 
 // Mean wait after a failed poll, before a jitter of +-50 %. The endpoint list must be in force 6 s
 // after discovery can be reached again, whatever Settings::max_poll_interval is. In that time a
-// call may be lost (2.1 s until it is overdue, see DiscoveryClient::Waits), this wait passes (1.65
-// s at most) and the response to the next call may take 2.1 s.
+// call may be lost (2.1 s until it is overdue, see DiscoveryClient::Timeouts), this wait passes
+// (1.65 s at most) and the response to the next call may take 2.1 s.
 constexpr Duration kRetryDelay = std::chrono::milliseconds(1100);
 
 }  // namespace
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -297,7 +297,7 @@
   ::testing::AssertionResult until(Predicate predicate) {
     return run_until(io, predicate);
   }
-  std::shared_ptr<Client> client() { return Client::connect(io, server->listening()); }
+  std::shared_ptr<Client> client() { return Client::connect(io, server->local_endpoint()); }
 };
 
 TEST_F(AdminServerTest, RepliesToOneCallAndCloses) {
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -54,18 +54,21 @@
       {"rev", 41}, {"all", true}, {"targets", {target("s-1", loopback(81), "b", "DRAINING")}}};
   document["settings"]["ceilings"]["streamsPerConn"] = 100;
   const config::Config config = parse(document);
-  EXPECT_EQ(config.module.classes.size(), 3u);
-  EXPECT_EQ(config.module.classes[2].idempotency, load_balancer::Idempotency::deduplicated);
-  EXPECT_EQ(config.module.classes[2].deduplication_scope, load_balancer::DeduplicationScope::zone);
-  EXPECT_EQ(config.module.classes[0].latency_objective, std::chrono::seconds(20));
-  EXPECT_EQ(config.module.seed, 0x8c1f30d27a5be964u);
-  EXPECT_TRUE(config.module.poll_discovery && config.module.allow_cancellation &&
-              !config.module.allow_hedging);
-  EXPECT_EQ(config.module.streams_per_connection, 1u)
+  EXPECT_EQ(config.balancer_settings.classes.size(), 3u);
+  EXPECT_EQ(config.balancer_settings.classes[2].idempotency,
+            load_balancer::Idempotency::deduplicated);
+  EXPECT_EQ(config.balancer_settings.classes[2].deduplication_scope,
+            load_balancer::DeduplicationScope::zone);
+  EXPECT_EQ(config.balancer_settings.classes[0].latency_objective, std::chrono::seconds(20));
+  EXPECT_EQ(config.balancer_settings.seed, 0x8c1f30d27a5be964u);
+  EXPECT_TRUE(config.balancer_settings.poll_discovery &&
+              config.balancer_settings.allow_cancellation &&
+              !config.balancer_settings.allow_hedging);
+  EXPECT_EQ(config.balancer_settings.streams_per_connection, 1u)
       << "on sockets a connection carries one request at a time";
-  ASSERT_TRUE(config.known);
-  EXPECT_EQ(config.known->version, 41);
-  EXPECT_EQ(config.known->hosts.at(0).state, discovery::ListedEndpointState::draining);
+  ASSERT_TRUE(config.known_endpoints);
+  EXPECT_EQ(config.known_endpoints->version, 41);
+  EXPECT_EQ(config.known_endpoints->hosts.at(0).state, discovery::ListedEndpointState::draining);
 }
 
 TEST(Config, VariableOverridesFileAtStart) {
@@ -240,7 +243,7 @@
   json document = config_json();
   document["discovery"] = "127.0.0.1:7";
   const auto environment = environment_with("GW_DISCOVERY", "127.0.0.1:6");
-  const auto reload = config::ConfigSource::again;
+  const auto reload = config::LoadReason::reload;
   EXPECT_EQ(config::parse_config(document, environment).discovery.port(), 6);
   EXPECT_EQ(config::parse_config(document, environment, reload).discovery.port(), 7);
 
--- a/tests/discovery/endpoint_list_test.cpp
+++ b/tests/discovery/endpoint_list_test.cpp
@@ -11,7 +11,7 @@
 
 using nlohmann::json;
 
-TEST(EndpointList, RejectsInvalidInput) {
+TEST(EndpointList, ThrowsOnMalformedListOrAddress) {
   EXPECT_THROW(discovery::parse_endpoint_list(json::array()), std::invalid_argument);
   EXPECT_THROW(discovery::parse_endpoint_list({{"rev", 1}}), std::invalid_argument);
   EXPECT_THROW(discovery::parse_endpoint_list(
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -712,7 +712,7 @@
 }
 
 TEST_F(GatewayTest, TreatsSilentWatchAsFailed) {
-  waits.discovery.answer = waits.discovery.at_once = std::chrono::milliseconds(20);
+  waits.discovery.long_poll_margin = waits.discovery.call_timeout = std::chrono::milliseconds(20);
   discovery.peer.script = [&](PeerConnection& c) {
     discovery.request_targets.push_back(c.request.target().to_string());
   };
@@ -722,7 +722,7 @@
 
 // A change during a silent watch must be known soon after, and so must the late response to it.
 TEST_F(GatewayTest, ReopensSilentWatchAndStillReadsOldOne) {
-  waits.discovery.watch = waits.discovery.answer = std::chrono::milliseconds(60);
+  waits.discovery.long_poll_wait = waits.discovery.long_poll_margin = std::chrono::milliseconds(60);
   std::vector<std::shared_ptr<PeerConnection>> calls;
   const auto answer = [](int version, const json& changed) {
     return response_text(200, "",
--- a/tests/gateway/races_test.cpp
+++ b/tests/gateway/races_test.cpp
@@ -564,7 +564,7 @@
 // --- Discovery ---
 
 TEST_F(RaceTest, StartsSecondPollBesideSilentOneAndReadsBoth) {
-  waits.discovery.at_once = 50ms;
+  waits.discovery.call_timeout = 50ms;
   ScriptedDiscovery scripted(io);
   start_knowing(1, scripted);
   const auto began = Clock::now();
@@ -605,7 +605,7 @@
 };
 
 TEST_F(ReloadTest, StartsSecondPollWithoutFailureBackoff) {
-  waits.discovery.at_once = 50ms;
+  waits.discovery.call_timeout = 50ms;
   lose_the_first_call(450ms);
 }
 
@@ -641,7 +641,7 @@
 // Discovery has restarted its version numbers: its snapshot is valid, and the late response of an
 // earlier call, with a higher version of the old sequence, is not.
 TEST_F(RaceTest, IgnoresLateResponseOfPreviousVersionSequence) {
-  waits.discovery.watch = waits.discovery.answer = 60ms;
+  waits.discovery.long_poll_wait = waits.discovery.long_poll_margin = 60ms;
   ScriptedDiscovery scripted(io);
   start_knowing(40, scripted);
   ASSERT_TRUE(until([&] { return scripted.calls.size() == 1; }));
