--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -15,23 +15,24 @@
 using load_balancer::Duration;
 using nlohmann::json;
 
-/// With fewer file descriptors the shares of clients, hosts and the process itself do not fit.
-constexpr std::size_t kMinSockets = 64;
-/// Used where the settings give no `connectTimeoutNs`.
+/// Fewer file descriptors would not suffice for clients, hosts and the process itself.
+constexpr std::size_t kMinDescriptors = 64;
+/// Used if the settings have no `connectTimeoutNs`.
 constexpr std::chrono::milliseconds kDefaultConnectTimeout{250};
 /// Descriptors 0 to 2 are the standard streams.
 constexpr int kFirstPassedDescriptor = 3;
 
-/// Fields that the environment can set as well as the file.
+/// Reads fields that both the environment and the file can set; `reason` decides which of the two
+/// has precedence.
 class OverridableFields {
  public:
-  OverridableFields(const json& document, const Environment& environment, ConfigSource source)
-      : document_(document), environment_(environment), source_(source) {}
+  OverridableFields(const json& document, const Environment& environment, LoadReason reason)
+      : document_(document), environment_(environment), reason_(reason) {}
 
-  /// Empty where neither source sets the field.
+  /// The value of the field; empty if neither the variable nor the file sets it.
   std::string text(const char* field, const char* variable) const {
     const char* value = environment_(variable);
-    if (value && (source_ == ConfigSource::at_start || !document_.contains(field))) {
+    if (value && (reason_ == LoadReason::startup || !document_.contains(field))) {
       return value;
     }
     std::string text;
@@ -39,6 +40,7 @@
     return text;
   }
 
+  /// The address in the field. Throws ConfigError if it is not set or invalid.
   tcp::endpoint endpoint(const char* field, const char* variable) const {
     const std::optional<tcp::endpoint> address = optional_endpoint(field, variable);
     if (!address) {
@@ -48,6 +50,7 @@
     return *address;
   }
 
+  /// The address in the field; empty if it is not set. Throws ConfigError if it is invalid.
   std::optional<tcp::endpoint> optional_endpoint(const char* field, const char* variable) const {
     const std::string address = text(field, variable);
     if (address.empty()) {
@@ -63,7 +66,7 @@
  private:
   const json& document_;
   const Environment& environment_;
-  ConfigSource source_;
+  LoadReason reason_;
 };
 
 std::optional<int> read_passed_socket(const char* text) {
@@ -74,16 +77,17 @@
   const char* last = text + std::string_view(text).size();
   const auto [end, error] = std::from_chars(text, last, descriptor);
   if (error != std::errc{} || end != last || descriptor < kFirstPassedDescriptor) {
-    throw field_error("GW_PASSED_SOCKET", std::string("'") + text + "' is no descriptor",
+    throw field_error("GW_PASSED_SOCKET",
+                      std::string("'") + text + "' is not a descriptor number of at least 3",
                       "a file descriptor from 3 upwards");
   }
   return descriptor;
 }
 
 void read_limits(const json& limits, Config& config) {
-  read_field(limits, "sockets", config.sockets);
+  read_field(limits, "sockets", config.max_descriptors);
   read_field(limits, "memory_mb", config.memory_mb);
-  if (config.sockets < kMinSockets) {
+  if (config.max_descriptors < kMinDescriptors) {
     throw field_error("sockets", "at least 64 are needed", "at least 64");
   }
   if (config.memory_mb == 0) {
@@ -102,7 +106,7 @@
   }
 }
 
-/// The load balancer checks its settings when it is constructed.
+/// Constructs a load balancer, because its constructor validates the settings. Throws ConfigError.
 void validate_settings(const load_balancer::Settings& settings) {
   try {
     const load_balancer::Balancer balancer(settings, Duration{});
@@ -113,11 +117,11 @@
 
 }  // namespace
 
-Config parse_config(const json& document, const Environment& environment, ConfigSource source) {
+Config parse_config(const json& document, const Environment& environment, LoadReason reason) {
   if (!document.is_object()) {
     throw ConfigError("the configuration is no object", {{}, "is no object", "an object"});
   }
-  const OverridableFields fields(document, environment, source);
+  const OverridableFields fields(document, environment, reason);
   Config config;
   config.name = fields.text("name", "GW_NAME");
   config.listen = fields.endpoint("listen", "GW_LISTEN");
@@ -125,21 +129,21 @@
   config.admin = fields.optional_endpoint("admin_addr", "GW_ADMIN_ADDR");
   config.passed_socket = read_passed_socket(environment("GW_PASSED_SOCKET"));
   const json& settings = object_field(document, "settings");
-  config.module = read_settings(settings);
+  config.balancer_settings = read_settings(settings);
   std::string seed;
   read_field(document, "seed", seed);
   if (!seed.empty()) {
-    config.module.seed = read_seed(seed);
+    config.balancer_settings.seed = read_seed(seed);
   }
   read_limits(object_field(document, "limits"), config);
   config.connect_timeout = kDefaultConnectTimeout;
   read_field(object_field(settings, "ceilings"), "connectTimeoutNs", config.connect_timeout);
-  config.known = read_known_endpoints(document);
-  validate_settings(config.module);
+  config.known_endpoints = read_known_endpoints(document);
+  validate_settings(config.balancer_settings);
   return config;
 }
 
-Config load_config(const Environment& environment, ConfigSource source) {
+Config load_config(const Environment& environment, LoadReason reason) {
   const char* path = environment("GW_CONFIG");
   if (!path) {
     throw ConfigError("GW_CONFIG is not set",
@@ -152,9 +156,10 @@
   const json document = json::parse(file, nullptr, false);
   try {
     if (document.is_discarded()) {
-      throw ConfigError(std::string(path) + " holds no JSON", {{}, "holds no JSON", "JSON"});
+      throw ConfigError(std::string(path) + " is not valid JSON",
+                        {{}, "is not valid JSON", "JSON"});
     }
-    return parse_config(document, environment, source);
+    return parse_config(document, environment, reason);
   } catch (ConfigError& error) {
     error.set_file(path);
     throw;
--- a/tests/gateway/gateway_test.cpp
+++ b/tests/gateway/gateway_test.cpp
@@ -755,7 +755,7 @@
 }
 
 TEST_F(GatewayTest, SendsSecondPollWhenFirstIsOverdue) {
-  waits.discovery.answer = waits.discovery.at_once = std::chrono::milliseconds(20);
+  waits.discovery.long_poll_margin = waits.discovery.call_timeout = std::chrono::milliseconds(20);
   discovery.peer.script = [&](PeerConnection& c) {
     discovery.request_targets.push_back(c.request.target().to_string());
   };
@@ -766,7 +766,7 @@
 // A watch without a response is overdue after its timeout. A new one then begins soon, so that no
 // change is missed for long, and the late response to the old one still applies.
 TEST_F(GatewayTest, ReopensOverdueWatchAndStillReadsOldOne) {
-  waits.discovery.watch = waits.discovery.answer = std::chrono::milliseconds(60);
+  waits.discovery.long_poll_wait = waits.discovery.long_poll_margin = std::chrono::milliseconds(60);
   std::vector<std::shared_ptr<PeerConnection>> calls;
   const auto list = [](int version, const json& changed) {
     return response_text(200, "",
--- a/tests/gateway/races_test.cpp
+++ b/tests/gateway/races_test.cpp
@@ -599,7 +599,7 @@
 // A poll without a response is overdue, not failed: a second one is sent in parallel, and a drain
 // in the late response to the first one still applies.
 TEST_F(RaceTest, StartsSecondPollBesideOverdueOneAndReadsBoth) {
-  waits.discovery.at_once = 50ms;
+  waits.discovery.call_timeout = 50ms;
   ScriptedDiscovery scripted(io);
   start_with_known_version(1, scripted);
   const auto began_at = Clock::now();
@@ -642,7 +642,7 @@
 };
 
 TEST_F(ReloadTest, StartsSecondPollWithoutFailureBackoff) {
-  waits.discovery.at_once = 50ms;
+  waits.discovery.call_timeout = 50ms;
   expect_list_after_lost_first_call(450ms);
 }
 
@@ -679,7 +679,7 @@
 // Discovery has restarted its version numbers: its snapshot is valid, and the late response of an
 // earlier call, with a higher version of the old sequence, is not.
 TEST_F(RaceTest, IgnoresLateResponseOfPreviousVersionSequence) {
-  waits.discovery.watch = waits.discovery.answer = 60ms;
+  waits.discovery.long_poll_wait = waits.discovery.long_poll_margin = 60ms;
   ScriptedDiscovery scripted(io);
   start_with_known_version(40, scripted);
   ASSERT_TRUE(until([&] { return scripted.calls.size() == 1; }));
