--- a/src/fleet_state/fleet_state.hpp
+++ b/src/fleet_state/fleet_state.hpp
@@ -36,8 +36,8 @@
   // the current slot.
   FleetState(FleetStateConfig config, std::string member, std::uint64_t incarnation_id, Time now);
 
-  // Whether a request is admitted; if so, counts it and spends a token of each limit that applies.
-  // The caller rejects a request that is not admitted.
+  // Whether a request is admitted; if so, counts it, spends a token of each limit that applies and
+  // issues retry_ratio retry tokens. The caller rejects a request that is not admitted.
   bool try_admit(Time now, std::string_view request_class, std::string_view tenant);
   // Counts a retry and spends a token of the retry budget.
   void on_retry_sent(Time now);
@@ -58,16 +58,16 @@
   // Whether the caller should send a payload at once instead of with the next membership message:
   // tokens are needed, or a health report has not been sent yet.
   bool has_urgent_update() const;
-  // Members to which tokens were transferred that no payload has reported to them yet. The caller
-  // sends each a message with the payload_for() it.
+  // Members to which tokens were transferred since the last payload_for() them. The caller sends
+  // each of them a payload.
   std::vector<std::string> pending_transfers() const {
     return {pending_transfers_.begin(), pending_transfers_.end()};
   }
 
   const std::set<std::string>& ejected_hosts() const { return consensus_.ejected(); }
-  struct Counters {  // since the start
-    std::uint64_t requests = 0;
-    std::uint64_t rejected = 0;
+  struct Counters {              // since the start
+    std::uint64_t requests = 0;  // admitted
+    std::uint64_t rejected = 0;  // not admitted
     std::uint64_t retries = 0;
     std::uint64_t retries_overdrawn = 0;  // sent without a token
     std::uint64_t bad_payloads = 0;       // malformed or not plausible
@@ -119,8 +119,8 @@
   Time own_row_scheduled_at_{};
   OutlierConsensus consensus_;
   std::set<std::string, std::less<>> pending_transfers_;
-  std::map<std::string, std::uint64_t, std::less<>>
-      peer_incarnation_ids_;  // of the last payload from each member
+  // The sender's incarnation id in the last payload from each member.
+  std::map<std::string, std::uint64_t, std::less<>> peer_incarnation_ids_;
   FleetView view_;
   bool is_bootstrapped_ = false;
   Counters counters_;
--- a/src/fleet_state/outlier_consensus.hpp
+++ b/src/fleet_state/outlier_consensus.hpp
@@ -85,6 +85,7 @@
       std::size_t count, unsigned transmissions) const;
   // Counts a transmission of a report from reports_to_send().
   void on_report_sent(const HealthReportKey& key);
+  // Whether reports_to_send() would return any report.
   bool has_reports_to_send(unsigned transmissions) const;
   // How often each member has to send a report for it to reach a fleet of `members` members.
   static unsigned transmissions_for(std::size_t members);
--- a/src/replicated_store/write_ahead_log.hpp
+++ b/src/replicated_store/write_ahead_log.hpp
@@ -7,8 +7,8 @@
 //   meta              term and vote
 //   log-INDEX         a segment: the records from that index on
 //   snapshot-INDEX    the state up to and including that index
-// Invalid bytes at the end of the last segment, with no valid record after them, are the rest of an
-// interrupted append. They were never acknowledged and are removed when the log is opened. Any
+// Invalid bytes at the end of the last segment, with no valid record after them, are treated as the
+// rest of an interrupted append, which was never acknowledged: opening the log removes them. Any
 // other checksum mismatch is an error, because the damaged part may have been acknowledged.
 // log_format.hpp describes the format.
 //
--- a/tests/fleet_state/fleet_state_test.cpp
+++ b/tests/fleet_state/fleet_state_test.cpp
@@ -179,7 +179,7 @@
   std::map<std::size_t, FleetState::Counters> logged_counters_;
 };
 
-// A partition into 30 % and 70 % of the members, healed after 8 s, then a partition into three
+// A partition into 30 % and 70 % of the members, healed after 8 s for 4 s, a partition into three
 // parts, then a link that is blocked in one direction while every link loses a fifth of its
 // datagrams. In that last phase a member is killed and restarted, and another is paused for 3 s.
 void run_fault_scenario(SharedFleet& fleet) {
