--- a/src/membership/codec.hpp
+++ b/src/membership/codec.hpp
@@ -21,9 +21,9 @@
 inline constexpr std::size_t kMaxPayloadBytes = 900;    // of Message::payload
 
 enum class DecodeError : std::uint8_t {
-  malformed,     // corrupt, not a message, or a field out of its bounds
-  other_fleet,   // a message of another fleet
-  other_format,  // the format version is not the one of this process
+  malformed,    // corrupt, not a message, or a field out of its bounds
+  other_fleet,  // a message of another fleet
+  other_format  // the format version differs from this process's
 };
 
 // Returns the number that identifies a fleet in datagrams: a hash of the fleet's name in the
--- a/tests/membership/fuzz_datagram.cpp
+++ b/tests/membership/fuzz_datagram.cpp
@@ -1,6 +1,7 @@
-// libFuzzer on what a gateway receives from its fleet: datagrams as they are, datagrams with a
-// matching checksum, so that the decoder behind the checksum is reached too, and bare payloads.
-// Built and run by bench/fuzz.sh.
+// libFuzzer target for the input that a gateway receives from its fleet. Each input is tried as a
+// datagram, as a payload without a message around it, and as a datagram with a matching checksum
+// appended, so that mutated input reaches the decoder behind the checksum. Built and run by
+// bench/fuzz.sh.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -36,11 +37,11 @@
   return config;
 }
 
-fleet_state::FleetView view_of_three() {
+fleet_state::FleetView view_of_three_members() {
   return {3, 3, true, {"g0", "g1", "g2"}};
 }
 
-// A member that knows g1 and g2. Each input gets a new one.
+// A member that knows g1 and g2. A new one is created for each input.
 struct Receiver {
   Receiver() : members(make_settings(), 1000, 1, now), state(make_config(), "g0", 7, now) {
     state.on_hosts({"h0", "h1", "h2"});
@@ -57,18 +58,22 @@
   fleet_state::FleetState state;
 };
 
-void check(bool holds) {
-  if (!holds) {
+// Reports a failure to libFuzzer.
+void check(bool condition) {
+  if (!condition) {
     std::abort();
   }
 }
 
+// A message that can be decoded again must be equal to the original.
 void check_round_trip(const membership::Message& message) {
   const auto decoded = membership::decode(membership::encode(message, kFleet), kFleet);
-  const auto* same = std::get_if<membership::Message>(&decoded);
-  check(!same || *same == message);
+  const auto* decoded_message = std::get_if<membership::Message>(&decoded);
+  check(!decoded_message || *decoded_message == message);
 }
 
+// Passes the input to the membership and the shared state. Replies must stay bounded in size, and
+// the number of tokens must not become negative.
 void receive_datagram(const std::string& datagram) {
   const auto decoded = membership::decode(datagram, kFleet);
   const auto* message = std::get_if<membership::Message>(&decoded);
@@ -82,7 +87,7 @@
   for (int i = 0; i < 3; ++i) {
     receiver.now += std::chrono::milliseconds(500);
     receiver.members.on_timer(receiver.now);
-    receiver.state.on_tick(receiver.now, view_of_three());
+    receiver.state.on_tick(receiver.now, view_of_three_members());
     for (const auto& outgoing : receiver.members.outgoing()) {
       check(membership::encode(outgoing.message, kFleet).size() <=
             4 * membership::kMaxDatagramBytes);
@@ -93,15 +98,16 @@
   check(receiver.state.retry_tokens().held() >= 0);
 }
 
-// The payload decoder without a message around it.
+// Passes the input to the payload decoder. A single member must not cause an ejection.
 void receive_payload(const std::string& payload) {
   Receiver receiver;
   receiver.state.on_payload(receiver.now, "g1", payload);
-  receiver.state.on_tick(receiver.now, view_of_three());
+  receiver.state.on_tick(receiver.now, view_of_three_members());
   check(receiver.state.payload_for("g1", kMaxPayloadBytes).size() <= kMaxPayloadBytes);
   check(receiver.state.ejected_hosts().empty());
 }
 
+// Returns a payload with a counter row, a demand for retry tokens and a health report.
 std::string valid_payload() {
   Receiver sender;
   for (int i = 0; i < 40; ++i) {
@@ -111,7 +117,7 @@
   for (int i = 0; i < 5; ++i) {
     sender.state.on_attempt_result(sender.now, "h1", false);
   }
-  sender.state.on_tick(sender.now + std::chrono::seconds(3), view_of_three());
+  sender.state.on_tick(sender.now + std::chrono::seconds(3), view_of_three_members());
   return sender.state.payload_for("g1", kMaxPayloadBytes);
 }
 
@@ -129,7 +135,7 @@
   return 0;
 }
 
-// With FUZZ_SEEDS=FOLDER, a valid message and a valid payload are written there to start from.
+// FUZZ_SEEDS=FOLDER: writes a valid payload and a valid message without its checksum there.
 // NOLINTNEXTLINE(readability-identifier-naming): the name is libFuzzer's
 extern "C" int LLVMFuzzerInitialize(int*, char***) {
   const char* folder = std::getenv("FUZZ_SEEDS");
--- a/tests/membership/membership_test.cpp
+++ b/tests/membership/membership_test.cpp
@@ -1,5 +1,5 @@
-// Tests of the membership protocol under the failures it exists for: killed and paused members,
-// network partitions, members that receive nothing, datagram loss and restarts.
+// Tests of the membership protocol under killed and paused members, network partitions, members
+// that receive nothing, datagram loss and restarts, and of its datagram format.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
@@ -11,7 +11,8 @@
 namespace gateway::testing {
 namespace {
 
-// Records when each member first suspected another, and who was ever declared dead.
+// Records when each member first saw another one as not alive, and which members were declared
+// dead.
 struct ChangeRecorder {
   explicit ChangeRecorder(FleetSimulator& sim) {
     sim.on_change = [this](Time at, const std::string& observer, const MemberChange& change) {
@@ -24,7 +25,7 @@
       }
     };
   }
-  // How long after `since` the observer suspected the member; 99 s if it did not.
+  // Seconds from `since` until the observer suspected the member; 99 if it never did.
   double seconds_until_suspected(std::size_t observer, std::size_t member, Time since) const {
     const auto it =
         first_suspected.find({FleetSimulator::name(observer), FleetSimulator::name(member)});
@@ -39,23 +40,24 @@
 
   std::map<std::pair<std::string, std::string>, Time> first_suspected;  // by observer and member
   std::set<std::string> declared_dead;
-  std::string ignored_observer;  // whose view does not count
+  std::string ignored_observer;  // its view is not recorded in `declared_dead`
 };
 
-// The delay in seconds after which each running member suspected each of the killed ones.
+// Seconds from `killed_at` until each running member suspected each of the killed members.
 std::vector<double> detection_delays(const FleetSimulator& sim, const ChangeRecorder& changes,
                                      const std::vector<std::size_t>& killed, Time killed_at) {
   std::vector<double> delays;
   for (std::size_t i = 0; i < sim.nodes.size(); ++i) {
-    for (std::size_t k : killed) {
+    for (std::size_t member : killed) {
       if (sim.is_running(i)) {
-        delays.push_back(changes.seconds_until_suspected(i, k, killed_at));
+        delays.push_back(changes.seconds_until_suspected(i, member, killed_at));
       }
     }
   }
   return delays;
 }
 
+// Expects a 99th percentile below 2 s and a median below 1.2 s.
 void expect_detection_within_two_seconds(std::vector<double> delays) {
   std::sort(delays.begin(), delays.end());
   EXPECT_LT(delays[delays.size() * 99 / 100], 2.0);
@@ -70,6 +72,8 @@
   return total;
 }
 
+// Guards against members that stay unknown to others, or are declared dead, when all members of a
+// fleet start at the same time and only three of them are seeds.
 TEST(Membership, FiftyMembersThatJoinTogetherAllSeeEachOtherAlive) {
   FleetSimulator sim(50, 1);
   ChangeRecorder changes(sim);
@@ -81,16 +85,19 @@
   EXPECT_EQ(sim.at(7).known_count(), 50u);
 }
 
+// Kills six members in each of five rounds. Guards against probing or gossip that takes too long to
+// make a death known to every member, against a running member that is declared dead, and against
+// gossip that does not end, which would cost traffic in an idle fleet.
 TEST(Membership, KilledMembersOf300AreSuspectedWithinTwoSecondsAndThenDeclaredDead) {
   FleetSimulator sim(300, 2);
   sim.start_all();
   ASSERT_TRUE(sim.run_until_done(20s, [&] { return sim.all_agree(); }));
-  sim.run_for(15s);  // until the gossip about the start has ended
+  sim.run_for(15s);  // until gossip about the start has ended
   const std::uint64_t bytes_before = total_sent_bytes(sim);
   sim.run_for(10s);
   const std::uint64_t bytes_after = total_sent_bytes(sim);
   EXPECT_LT(static_cast<double>(bytes_after - bytes_before) / 300 / 10, 1500)
-      << "bytes per second and member while nothing happens";
+      << "bytes per second and member in an idle fleet";
   ChangeRecorder changes(sim);
   std::vector<double> delays;
   for (int round = 0; round < 5; ++round) {
@@ -99,12 +106,12 @@
       killed.push_back(10 + static_cast<std::size_t>(round) * 50 + i * 7);
     }
     const Time killed_at = sim.now();
-    for (std::size_t k : killed) {
-      sim.kill(k);
+    for (std::size_t member : killed) {
+      sim.kill(member);
     }
     sim.run_for(4s);
-    const std::vector<double> of_round = detection_delays(sim, changes, killed, killed_at);
-    delays.insert(delays.end(), of_round.begin(), of_round.end());
+    const std::vector<double> round_delays = detection_delays(sim, changes, killed, killed_at);
+    delays.insert(delays.end(), round_delays.begin(), round_delays.end());
   }
   expect_detection_within_two_seconds(delays);
   sim.run_for(15s);
@@ -115,18 +122,20 @@
   EXPECT_EQ(changes.declared_dead.size(), 30u);
 }
 
-TEST(Membership, ATenthOf300KilledTogetherIsSuspectedWithinTwoSeconds) {
+// Guards against messages that carry too few updates: gossip about 30 deaths at once then takes
+// more than 2 s to reach every member.
+TEST(Membership, ThirtyOf300MembersKilledTogetherAreSuspectedWithinTwoSeconds) {
   FleetSimulator sim(300, 2);
   sim.start_all();
-  sim.run_for(35s);  // until the gossip about the start has ended
+  sim.run_for(35s);  // until gossip about the start has ended
   ChangeRecorder changes(sim);
   std::vector<std::size_t> killed;
   for (std::size_t i = 0; i < 30; ++i) {
     killed.push_back(10 + i * 7);
   }
   const Time killed_at = sim.now();
-  for (std::size_t k : killed) {
-    sim.kill(k);
+  for (std::size_t member : killed) {
+    sim.kill(member);
   }
   sim.run_for(4s);
   const std::vector<double> delays = detection_delays(sim, changes, killed, killed_at);
@@ -134,6 +143,8 @@
   expect_detection_within_two_seconds(delays);
 }
 
+// A member is paused for 5 s, less than the minimum suspicion timeout of 6 s. Guards against
+// declaring it dead before it can refute the suspicion.
 TEST(Membership, PauseBelowSuspicionTimeoutCausesNoDeathInHundredSeeds) {
   std::size_t suspected = 0;
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
@@ -152,8 +163,8 @@
   EXPECT_EQ(suspected, 100u) << "a paused member must be suspected";
 }
 
-// Members 6 to 8 suspect the paused members 3 to 5, are paused themselves, and resume when the
-// suspicions would time out. Returns how many of them suspected member 4.
+// Pauses members 3 to 5 for 5 s and, from 2.5 s on, members 6 to 8 for 5 s too. Returns how many of
+// members 6 to 8 suspected member 4 before their own pause.
 std::size_t run_overlapping_pauses(FleetSimulator& sim, const ChangeRecorder& changes) {
   std::size_t suspected = 0;
   for (std::size_t i : {3, 4, 5}) {
@@ -176,7 +187,10 @@
   return suspected;
 }
 
-TEST(Membership, PausedMemberDoesNotCountItsOwnPauseAgainstSuspects) {
+// Members 6 to 8 suspect members 3 to 5 and are paused until after the suspicion timeout. Their
+// timers run before they read the refutations that arrived meanwhile. Guards against members that
+// count their own pause towards the timeout and so declare members 3 to 5 dead.
+TEST(Membership, OverlappingPausesBelowSuspicionTimeoutCauseNoDeath) {
   std::size_t suspected = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     FleetSimulator sim(20, seed);
@@ -187,9 +201,11 @@
     EXPECT_TRUE(changes.declared_dead.empty()) << "seed " << seed;
     EXPECT_TRUE(sim.all_agree()) << "seed " << seed;
   }
-  EXPECT_GT(suspected, 20u);
+  EXPECT_GT(suspected, 20u);  // of 30; otherwise the runs do not reach the case
 }
 
+// Partitions the network for 20 s, then expects agreement within 15 s. During the partition each
+// member sees exactly the members of its own part as alive and still knows all.
 void partition_and_heal(FleetSimulator& sim, const std::function<int(std::size_t)>& part_of,
                         std::uint64_t seed) {
   sim.link = partitioned_by(part_of);
@@ -201,19 +217,22 @@
           << name << " seed " << seed;
     }
     EXPECT_EQ(sim.at(i).known_count(), sim.nodes.size())
-        << "members that cannot be reached still count";
+        << "unreachable members still count as known";
   }
   sim.link = fully_connected();
   EXPECT_TRUE(sim.run_until_done(15s, [&] { return sim.all_agree(); })) << "seed " << seed;
 }
 
-TEST(Membership, RecoversFromRepeatedNetworkPartitions) {
+// Guards against parts of a fleet that consider each other dead forever after a network partition
+// has healed: members that are known to be dead must still be pinged and must be able to refute
+// that.
+TEST(Membership, MembersAgreeAgainAfterRepeatedNetworkPartitions) {
   for (std::uint64_t seed : {3, 4, 5}) {
     FleetSimulator sim(50, seed);
     sim.start_all();
     ASSERT_TRUE(sim.run_until_done(10s, [&] { return sim.all_agree(); }));
     partition_and_heal(
-        sim, [](std::size_t i) { return i % 10 < 3 ? 1 : 0; }, seed);  // 30 to 70
+        sim, [](std::size_t i) { return i % 10 < 3 ? 1 : 0; }, seed);  // 30 % and 70 %
     partition_and_heal(
         sim, [](std::size_t i) { return static_cast<int>(i % 3); }, seed);
     partition_and_heal(
@@ -221,49 +240,53 @@
   }
 }
 
+// Guards against declaring a member dead because a single other member cannot reach it.
 TEST(Membership, OneBlockedLinkCausesNoDeathBecauseOfIndirectProbes) {
   FleetSimulator sim(20, 6);
   sim.start_all();
   ASSERT_TRUE(sim.run_until_done(10s, [&] { return sim.all_agree(); }));
   ChangeRecorder changes(sim);
-  sim.link = [](std::size_t a, std::size_t b) {
-    FleetSimulator::Link l;
-    l.blocked = a == 3 && b == 9;  // one way
-    return l;
+  sim.link = [](std::size_t from, std::size_t to) {
+    FleetSimulator::Link link;
+    link.blocked = from == 3 && to == 9;  // in this direction only
+    return link;
   };
   sim.run_for(60s);
   EXPECT_TRUE(changes.declared_dead.empty());
   EXPECT_TRUE(sim.all_agree());
 }
 
-// All others look dead to a member that receives nothing. Its local health score must keep it from
-// convincing the fleet of that.
+// A member that receives nothing gets no acks and suspects all others. Guards against its
+// suspicions causing deaths in the rest of the fleet: its local health score slows its probes down,
+// and the suspected members refute.
 TEST(Membership, MemberThatReceivesNothingCausesNoOtherDeaths) {
   FleetSimulator sim(30, 7);
   sim.start_all();
   ASSERT_TRUE(sim.run_until_done(10s, [&] { return sim.all_agree(); }));
   ChangeRecorder changes(sim);
   changes.ignored_observer = "g4";
-  sim.link = [](std::size_t, std::size_t b) {
-    FleetSimulator::Link l;
-    l.blocked = b == 4;
-    return l;
+  sim.link = [](std::size_t, std::size_t to) {
+    FleetSimulator::Link link;
+    link.blocked = to == 4;
+    return link;
   };
   sim.run_for(30s);
-  EXPECT_EQ(changes.declared_dead, std::set<std::string>{"g4"});  // rightly: it answers nobody
+  EXPECT_EQ(changes.declared_dead, std::set<std::string>{"g4"});  // correct: it sends no acks
   EXPECT_EQ(sim.at(0).alive_count(), 29u);
   sim.link = fully_connected();
   EXPECT_TRUE(sim.run_until_done(15s, [&] { return sim.all_agree(); }));
 }
 
+// Lost pings, acks and nacks cause suspicions. Guards against deaths because the refutation or the
+// final pings are lost as well.
 TEST(Membership, TwentyPercentDatagramLossCausesNoDeaths) {
   for (std::uint64_t seed : {8, 9}) {
     FleetSimulator sim(50, seed);
     sim.link = [](std::size_t, std::size_t) {
-      FleetSimulator::Link l;
-      l.loss = 0.2;
-      l.jitter = 20ms;
-      return l;
+      FleetSimulator::Link link;
+      link.loss = 0.2;
+      link.jitter = 20ms;
+      return link;
     };
     sim.start_all();
     ASSERT_TRUE(sim.run_until_done(
@@ -275,7 +298,9 @@
   }
 }
 
-TEST(Membership, RestartedMembersRejoinWhateverTheirClock) {
+// Guards against ignoring a restarted member as an earlier process: its boot id comes from its
+// clock, which may be behind that of its predecessor. It must then adopt a higher boot id.
+TEST(Membership, RestartedMemberRejoinsEvenIfItsClockIsBehind) {
   FleetSimulator sim(30, 10);
   sim.start_all();
   ASSERT_TRUE(sim.run_until_done(10s, [&] { return sim.all_agree(); }));
@@ -283,7 +308,7 @@
   sim.run_for(100ms);
   sim.start(3);  // before it is suspected
   sim.kill(4);
-  sim.run_for(20s);     // declared dead long ago
+  sim.run_for(20s);     // until it has been declared dead
   sim.start(4, 12345);  // with a clock far behind
   EXPECT_TRUE(sim.run_until_done(5s, [&] { return sim.all_agree(); }));
   EXPECT_GT(sim.at(0).peers().at("g4").version.boot_id, 1000000u);
@@ -291,10 +316,13 @@
   EXPECT_TRUE(sim.all_agree());
 }
 
-TEST(Membership, LeavingMemberIsRemovedPromptlyAndNoLongerCounted) {
+// Guards against a departure that other members see as a failure: they would count the member, and
+// so a part of every rate limit, until its retention ends.
+TEST(Membership, LeavingMemberIsSeenAsLeftWithinThreeSecondsAndNoLongerCounted) {
   FleetSimulator sim(20, 11);
   sim.start_all();
   ASSERT_TRUE(sim.run_until_done(10s, [&] { return sim.all_agree(); }));
+  // The simulator does not transmit the messages of a direct call, so they are delivered here.
   sim.at(6).leave();
   for (auto& outgoing : std::exchange(sim.at(6).outgoing(), {})) {
     sim.at(FleetSimulator::index_of(outgoing.to))
@@ -311,6 +339,7 @@
   EXPECT_EQ(sim.at(6).next_timer(), Time::max());
 }
 
+// Guards against two processes with the same name that refute each other forever.
 TEST(Membership, NewerProcessOfSameNameAtOtherAddressSupersedesOlder) {
   FleetSimulator sim(4, 12);
   for (std::size_t i = 0; i < 3; ++i) {
@@ -326,16 +355,18 @@
   EXPECT_EQ(sim.at(0).peers().at("g1").address, sim.nodes[3].address);
 }
 
-TEST(Membership, SameSeedProducesSameDatagrams) {
+// Guards against results that depend on anything but the seed, such as a clock or the order of a
+// hash table: a failing run could then not be reproduced.
+TEST(Membership, SameSeedSendsSameNumberOfBytes) {
   const auto sent_bytes = [](std::uint64_t seed) {
     FleetSimulator sim(12, seed);
     sim.start_all();
     sim.run_for(10s);
-    std::vector<std::uint64_t> sent;
-    for (const auto& n : sim.nodes) {
-      sent.push_back(n.sent_bytes);
+    std::vector<std::uint64_t> bytes_by_member;
+    for (const auto& node : sim.nodes) {
+      bytes_by_member.push_back(node.sent_bytes);
     }
-    return sent;
+    return bytes_by_member;
   };
   EXPECT_EQ(sent_bytes(3), sent_bytes(3));
   EXPECT_NE(sent_bytes(3), sent_bytes(4));
@@ -378,13 +409,15 @@
   return std::get<membership::DecodeError>(membership::decode(datagram, fleet));
 }
 
-TEST(MembershipCodec, DecodesWhatItEncoded) {
+TEST(MembershipCodec, DecodedMessageEqualsEncodedMessage) {
   const Message message = message_with_all_fields();
   const auto decoded = membership::decode(membership::encode(message, kFleet), kFleet);
   ASSERT_TRUE(std::holds_alternative<Message>(decoded));
   EXPECT_EQ(std::get<Message>(decoded), message);
 }
 
+// Guards against counting datagrams of another fleet or version as malformed, which would point an
+// operator to corruption instead of the configuration.
 TEST(MembershipCodec, ReportsOtherFleetAndOtherFormat) {
   const std::string datagram = membership::encode(message_with_all_fields(), kFleet);
   EXPECT_EQ(decode_error(datagram, kFleet + 1), membership::DecodeError::other_fleet);
@@ -393,6 +426,8 @@
   EXPECT_EQ(decode_error(append_checksum(newer)), membership::DecodeError::other_format);
 }
 
+// Truncates every second datagram and flips up to two random bits in all. Guards against reading
+// past the end of corrupt input and against accepting it; unchanged datagrams stay valid.
 TEST(MembershipCodec, RejectsRandomlyCorruptDatagrams) {
   const std::string datagram = membership::encode(message_with_all_fields(), kFleet);
   std::mt19937_64 random(5);
@@ -402,7 +437,7 @@
     if (i % 2 == 0) {
       corrupt.resize(random() % corrupt.size());
     }
-    for (std::size_t n = random() % 3; n > 0 && !corrupt.empty(); --n) {
+    for (std::size_t flips = random() % 3; flips > 0 && !corrupt.empty(); --flips) {
       const std::uint64_t bit = random() % 8;
       flip_bit(corrupt, random() % corrupt.size(), bit);
     }
@@ -411,6 +446,7 @@
   EXPECT_GT(rejected, 11000u);
 }
 
+// Guards against a part of the datagram that the checksum does not cover.
 TEST(MembershipCodec, RejectsEveryFlippedBit) {
   const std::string datagram = membership::encode(message_with_all_fields(), kFleet);
   for (std::size_t i = 0; i < datagram.size() * 8; ++i) {
@@ -420,15 +456,17 @@
   }
 }
 
+// Guards against input beyond the size bound and unbounded recursion of the CBOR parser on arrays
+// nested in arrays.
 TEST(MembershipCodec, RejectsOversizedAndNestedDatagrams) {
   const std::string oversized(membership::kMaxDatagramBytes + 1, '\x81');
   EXPECT_EQ(decode_error(oversized), membership::DecodeError::malformed);
-  // Arrays nested as deeply as the size permits.
+  // Each byte is the head of an array with a single element: the deepest nesting that fits.
   const std::string nested(membership::kMaxDatagramBytes - kChecksumBytes, '\x81');
   EXPECT_EQ(decode_error(append_checksum(nested)), membership::DecodeError::malformed);
 }
 
-TEST(MembershipAddress, ParsesAndFormatsAddresses) {
+TEST(MembershipAddress, ParsesAndFormatsAddressAndRejectsMalformedTexts) {
   const auto address = membership::parse_address("127.0.0.1:7000");
   ASSERT_TRUE(address);
   EXPECT_EQ(membership::to_string(*address), "127.0.0.1:7000");
