--- a/src/fleet_agent/fleet_agent.cpp
+++ b/src/fleet_agent/fleet_agent.cpp
@@ -133,6 +133,8 @@
              {"to", std::string(to_string(change.to))}});
 }
 
+// Updates the shared state's view of the fleet. `is_bootstrapped` is false if this process is
+// superseded, or if the fleet should have several members and no other member is known.
 void FleetAgent::Impl::update_view() {
   view_is_stale_ = false;
   const membership::Membership& membership = transport_.membership();
@@ -174,6 +176,7 @@
   });
 }
 
+// Sends the payloads that cannot wait for a protocol message to carry them.
 void FleetAgent::Impl::send_updates() {
   if (fleet_state_.has_urgent_update() && now() - urgent_update_sent_at_ >= kUrgentUpdateInterval) {
     urgent_update_sent_at_ = now();
@@ -184,6 +187,7 @@
   }
 }
 
+// Passes the hosts that were ejected or returned since the latest call to the gateway.
 void FleetAgent::Impl::apply_ejections() {
   if (fleet_state_.ejected_hosts() == ejected_hosts_) {
     return;
@@ -223,6 +227,7 @@
 
 // --- Log
 
+// Logs the start of this process with the settings of its retry budget and rate limits.
 void FleetAgent::Impl::log_start() {
   constexpr double kNoRetryBudget = -1;
   const fleet_state::FleetStateConfig& shared = config_.fleet_state;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -118,6 +118,8 @@
   broadcasts_.add(own_update());
 }
 
+// Applies the update to the table, reports the change, starts or ends the suspicion of the member
+// and gossips the update.
 void Membership::store(Time now, const MemberUpdate& update) {
   const MemberChange change = table_.store(now, update);
   const bool joined = change.kind == MemberChangeKind::joined;
@@ -136,6 +138,7 @@
   broadcasts_.add(update);
 }
 
+// Raises a suspicion of the member after a failed probe, or confirms one.
 void Membership::suspect(Time now, const std::string& name) {
   const Member* member = table_.find(name);
   if (!member || !is_alive_or_suspect(member->state)) {
@@ -164,6 +167,7 @@
       static_cast<unsigned>(std::clamp(static_cast<int>(local_health_score_) + delta, 0, max));
 }
 
+// Returns up to `count` different random members that are alive, not suspect.
 std::vector<const Member*> Membership::sample_alive(std::size_t count, std::string_view excluded) {
   std::vector<const Member*> sample;
   for (const auto& [name, member] : table_.members()) {
--- a/src/membership/membership_messages.cpp
+++ b/src/membership/membership_messages.cpp
@@ -157,6 +157,8 @@
   }
 }
 
+// A ping for another name was sent to an address that now belongs to this member. It gets no ack,
+// because an ack would show the other member as alive.
 void Membership::on_ping(Address from, const Message& message) {
   if (message.target != settings_.name) {
     return;
@@ -167,6 +169,7 @@
   send(from, std::move(ack), message.from);
 }
 
+// Pings the target for the requester; on_ack() forwards the ack.
 void Membership::on_ping_request(Time now, Address from, const Message& message) {
   const auto timeout = static_cast<double>(settings_.probe_timeout.count());
   const Duration nack_after(static_cast<Duration::rep>(kNackTimeoutFraction * timeout));
@@ -183,6 +186,7 @@
   send(message.target_address, std::move(ping), message.target);
 }
 
+// The ack belongs to the probe of this member or to an indirect probe, or it arrived too late.
 void Membership::on_ack(const Message& message) {
   if (probe_ && probe_->sequence == message.sequence && probe_->phase != ProbePhase::acknowledged) {
     probe_->phase = ProbePhase::acknowledged;
@@ -207,6 +211,7 @@
   }
 }
 
+// Exchanges member tables if they differ: sends its own and requests the sender's.
 void Membership::on_sync(Address from, const Message& message) {
   if (message.digest == table_.digest(settings_.name, own_version_)) {
     return;
