--- a/src/lab/analysis/invariant_checker.cpp
+++ b/src/lab/analysis/invariant_checker.cpp
@@ -18,7 +18,7 @@
 
 std::string millis(Duration d) {
   const auto whole_microseconds = std::chrono::duration_cast<std::chrono::microseconds>(d).count();
-  return plain(static_cast<double>(whole_microseconds) / 1e3) + " ms";
+  return format_number(static_cast<double>(whole_microseconds) / 1e3) + " ms";
 }
 
 }  // namespace
@@ -65,20 +65,21 @@
     breach(Rule::answered_twice, now, r->gateway, "a second final answer to a " + c.name);
     return;
   }
-  if (now > r->deadline + from_millis(rules_.answer_slack_ms)) {
+  if (now > r->deadline + from_millis(rules_.response_slack_ms)) {
     breach(Rule::lost, now, r->gateway,
            "a " + c.name + " was answered " + millis(now - r->deadline) + " past its time");
   }
   if (answer == Answer::served) {
     return;
   }
-  const bool provable = c.effect == "retryable" || (c.effect == "dedup" && c.group == "all");
+  const bool provable =
+      c.idempotency == "retryable" || (c.idempotency == "dedup" && c.deduplication_scope == "all");
   if (answer == Answer::refused && !provable && !r->runs.empty()) {
     breach(Rule::unproven_refusal, now, r->gateway,
            "a " + c.name + " that a host had taken was refused");
   }
   // With nothing under way there is nothing to wait for.
-  if (r->out == 0 && now - r->idle_since > from_millis(rules_.held_back_ms)) {
+  if (r->out == 0 && now - r->idle_since > from_millis(rules_.max_rejection_delay_ms)) {
     breach(
         Rule::held_back, now, r->gateway,
         "a " + c.name + " was given up with nothing under way for " + millis(now - r->idle_since));
@@ -122,16 +123,16 @@
     return;
   }
   const ClassSpec& c = classes_[r->cls];
-  if (c.effect != "retryable") {
+  if (c.idempotency != "retryable") {
     for (const Run& run : r->runs) {
       const char* why = nullptr;
-      if (c.effect == "fragile") {
+      if (c.idempotency == "fragile") {
         why = "may have run before";
-      } else if (c.group != "all" && run.zone != zone) {
+      } else if (c.deduplication_scope != "all" && run.zone != zone) {
         why = "may have run in another zone";
-      } else if (c.group == "cell" && run.cell != cell) {
+      } else if (c.deduplication_scope == "cell" && run.cell != cell) {
         why = "may have run in another cell";
-      } else if (sent_at > run.sent_at + from_millis(c.window_ms)) {
+      } else if (sent_at > run.sent_at + from_millis(c.deduplication_window_ms)) {
         why = "may have run longer ago than repeats drop";
       }
       if (!why) {
@@ -189,8 +190,8 @@
     return;
   }
   breach(Rule::cold_pushed, now, 0,
-         "host " + std::to_string(host) + " was sent " + plain(pushed) +
-             " s of work within the window, it bears " + plain(borne));
+         "host " + std::to_string(host) + " was sent " + format_number(pushed) +
+             " s of work within the window, it bears " + format_number(borne));
 }
 
 }  // namespace gateway::lab
--- a/src/lab/analysis/report.cpp
+++ b/src/lab/analysis/report.cpp
@@ -388,7 +388,7 @@
     out += "<tr><td>" + d.figure + "</td><td>" + number(d.mean_a, 4) + "</td><td>" +
            number(d.mean_b, 4) + "</td><td>" + number(d.mean, 4) + "</td><td>[" + number(d.low, 4) +
            ", " + number(d.high, 4) + "]</td><td>" +
-           (d.noise()    ? "noise"
+           (d.is_noise() ? "noise"
             : d.mean > 0 ? "B higher"
                          : "B lower") +
            "</td></tr>";
--- a/src/lab/analysis/run_metrics.cpp
+++ b/src/lab/analysis/run_metrics.cpp
@@ -233,7 +233,7 @@
     }
     out["cutoff_by_second"] = cut;
     json troubles = json::array();
-    for (const TroubleTime& x : t.troubles) {
+    for (const FaultInterval& x : t.troubles) {
       troubles.push_back({{"name", x.name},
                           {"from_s", rounded(to_seconds(x.from))},
                           {"to_s", rounded(to_seconds(x.to))},
--- a/src/lab/analysis/run_metrics.hpp
+++ b/src/lab/analysis/run_metrics.hpp
@@ -61,7 +61,7 @@
   double work_done = 0, work_useful = 0;  // seconds of work
   std::vector<double> cutoffs;            // by second: mean over gateways
   std::vector<std::vector<float>> load;   // by host, by second: held a core; negative: not running
-  std::vector<TroubleTime> troubles;
+  std::vector<FaultInterval> troubles;
 };
 
 struct DayResult {
--- a/src/lab/cli/commands.cpp
+++ b/src/lab/cli/commands.cpp
@@ -61,7 +61,7 @@
 std::vector<DayResult> play(const Scenario& scenario, const RunOptions& o,
                             const std::string& what) {
   ProgressBar bar(what);
-  return play_days(scenario, o.first, o.seeds, o.jobs, make_balancer, bar.callback());
+  return simulate_runs(scenario, o.first, o.seeds, o.jobs, make_balancer, bar.callback());
 }
 
 void print_differences(const std::vector<Difference>& differences, bool json) {
@@ -75,7 +75,7 @@
                      {"low", d.low},
                      {"high", d.high},
                      {"pairs", d.pairs},
-                     {"noise", d.noise()}});
+                     {"noise", d.is_noise()}});
     }
     std::cout << out.dump(1) << '\n';
     return;
@@ -87,7 +87,7 @@
     std::snprintf(interval, sizeof interval, "[%+.4f, %+.4f]", d.low, d.high);
     std::printf("%-14s %8.4f %8.4f %+9.4f   %-20s %s\n", d.figure.c_str(), d.mean_a, d.mean_b,
                 d.mean, interval,
-                d.noise()    ? "noise"
+                d.is_noise() ? "noise"
                 : d.mean > 0 ? "B higher"
                              : "B lower");
   }
@@ -255,7 +255,7 @@
                        {"field", r.name},
                        {"unit", r.unit},
                        {"bounds", r.bounds},
-                       {"default", r.standard},
+                       {"default", r.default_value},
                        {"meaning", r.about}});
       }
       std::cout << out.dump(1) << '\n';
@@ -264,7 +264,7 @@
     std::cout << "section\tfield\tunit\tbounds\tdefault\tmeaning\n";
     for (const FieldRow& r : rows) {
       std::cout << r.section << '\t' << r.name << '\t' << r.unit << '\t' << r.bounds << '\t'
-                << r.standard << '\t' << r.about << '\n';
+                << r.default_value << '\t' << r.about << '\n';
     }
   });
 }
--- a/src/lab/cli/commands_live.cpp
+++ b/src/lab/cli/commands_live.cpp
@@ -304,8 +304,8 @@
                          {"listen", listen},
                          {"discovery", text_of(fleet.discovery_of(g))},
                          {"known", fleet.list(g)},
-                         {"settings",
-                          platform_settings(module_settings(scenario, g, zone, o->seed), scenario)}}
+                         {"settings", platform_settings(
+                                          balancer_settings(scenario, g, zone, o->seed), scenario)}}
               .dump(1));
       std::printf("  GW_CONFIG=%s build/gateway   # clients at %s\n", file.c_str(), listen.c_str());
     }
@@ -318,7 +318,7 @@
     std::printf("The hosts' own addresses are in %s (load @%s).\nCtrl-C ends it.\n", file.c_str(),
                 file.c_str());
     std::fflush(stdout);
-    fleet.begin_troubles([](const Step&) {});
+    fleet.begin_troubles([](const FaultStep&) {});
     while (!interrupted()) {
       io.run_for(std::chrono::milliseconds(50));
     }
--- a/src/lab/cli/commands_load.cpp
+++ b/src/lab/cli/commands_load.cpp
@@ -247,8 +247,8 @@
     const Scenario scenario = open_scenario(o->scenario, o->set);
     std::ostringstream text;
     text << "# seconds\tclass\twork in us\tkey; " << scenario.name << ", seed " << o->seed << '\n';
-    Traffic traffic(scenario, o->seed, draw_layout(scenario, o->seed).rate, Time{});
-    for (FirstTry t; traffic.next(t);) {
+    Traffic traffic(scenario, o->seed, draw_topology(scenario, o->seed).request_rate, Time{});
+    for (Arrival t; traffic.next(t);) {
       write_trace_line(text, {t.at, scenario.classes[t.cls].name, t.work * 1e6, t.key});
     }
     if (o->out.empty()) {
--- a/src/lab/faults/datagram_mesh.cpp
+++ b/src/lab/faults/datagram_mesh.cpp
@@ -108,7 +108,7 @@
       armed = kNever;
       const auto now = std::chrono::duration_cast<Duration>(Clock::now().time_since_epoch());
       while (agenda.next_at() <= now) {
-        deliver(agenda.take());
+        deliver(agenda.pop());
       }
       arm();
     });
--- a/src/lab/live/gateway_process.cpp
+++ b/src/lab/live/gateway_process.cpp
@@ -177,10 +177,10 @@
                       {"aimNs", k.latency_objective.count()},
                       {"giveUpNs", k.client_timeout.count()},
                       {"windowNs", k.deduplication_window.count()},
-                      {"points", c.worth},
-                      {"lateShare", c.late_share},
-                      {"effect", c.effect},
-                      {"group", c.group}});
+                      {"points", c.priority_weight},
+                      {"lateShare", c.late_value_fraction},
+                      {"effect", c.idempotency},
+                      {"group", c.deduplication_scope}});
   }
   return {{"groupSize", m.gateway_count},
           {"myNumber", m.gateway_index},
--- a/src/lab/live/live_fleet.cpp
+++ b/src/lab/live/live_fleet.cpp
@@ -198,7 +198,7 @@
     if (behind > kTolerance) {
       ++late_;
     }
-    agenda_.take()();
+    agenda_.pop()();
   }
   running_ = false;
   arm();
@@ -209,14 +209,14 @@
 
 struct LiveFleet::Impl : std::enable_shared_from_this<LiveFleet::Impl> {
   struct Host {
-    Host(asio::io_context& io, const HostPlace& p, std::uint32_t number, std::uint64_t seed,
+    Host(asio::io_context& io, const HostPlacement& p, std::uint32_t number, std::uint64_t seed,
          Time now, bool cold)
         : place(p),
           model(p.traits, now, cold),
           acceptor(io),
           started_at(cold ? now : Time{}),
           luck(seed, "luck", number) {}
-    HostPlace place;
+    HostPlacement place;
     HostModel model;
     tcp::acceptor acceptor;
     tcp::endpoint endpoint;
@@ -250,7 +250,7 @@
         s(scenario),
         seed(sd),
         eyes(e),
-        layout(draw_layout(scenario, sd)),
+        layout(draw_topology(scenario, sd)),
         plan(schedule_faults(scenario, layout, sd)),
         discovery(scenario.discovery, sd),
         network(sd, "packets") {
@@ -261,14 +261,14 @@
 
   // --- Hosts ---
 
-  void add_host(const HostPlace& place, bool cold, bool at_once) {
+  void add_host(const HostPlacement& place, bool cold, bool at_once) {
     const auto number = static_cast<std::uint32_t>(hosts.size());
     hosts.emplace_back(io, place, number, seed, clock.now(), cold);
     hosts.back().endpoint = loopback();
     listen_host(number);
-    const Listed listed{number, EndpointState::active, hosts.back().started_at};
+    const ListedHost listed{number, EndpointState::active, hosts.back().started_at};
     if (at_once) {
-      discovery.tell_at_once(clock.now(), listed);
+      discovery.publish_immediately(clock.now(), listed);
     } else {
       tell(listed);
     }
@@ -336,7 +336,7 @@
   }
 
   std::string load_header(const Host& h) const {
-    const auto report = h.model.report(clock.now());
+    const auto report = h.model.load_report(clock.now());
     if (!report) {
       return "";
     }
@@ -347,7 +347,7 @@
   }
 
   void send(const std::shared_ptr<Connection>& c, const Host& h, std::string text) {
-    const Duration late = h.model.condition().trickle;
+    const Duration late = h.model.condition().response_delay;
     if (late <= Duration{}) {
       return c->reply(std::move(text));
     }
@@ -412,15 +412,15 @@
     const std::uint32_t gateway = eyes ? eyes->gateway_of(id) : UINT32_MAX;
     job.sender_knows_start = gateway < told.size() && told[gateway].count(number) > 0 &&
                              told[gateway][number] == h.started_at;
-    const bool stood = !h.model.fallen();
-    const Admission admission = h.model.arrive(now, job, ended);
-    if (stood && h.model.fallen()) {
+    const bool stood = !h.model.collapse();
+    const Admission admission = h.model.submit(now, job, ended);
+    if (stood && h.model.collapse()) {
       if (eyes) {
-        eyes->fell(now, number, *h.model.fallen());
+        eyes->fell(now, number, *h.model.collapse());
       }
       return stop_host(number);
     }
-    if (admission == Admission::full) {
+    if (admission == Admission::rejected) {
       if (eyes) {
         eyes->over(now, id);
       }
@@ -435,9 +435,9 @@
 
   void after_host(std::uint32_t number) {
     Host& h = hosts[number];
-    std::vector<Ended> done;
+    std::vector<FinishedJob> done;
     std::swap(done, ended);
-    for (const Ended& e : done) {
+    for (const FinishedJob& e : done) {
       const auto it = work.find(e.id);
       if (it == work.end()) {
         continue;
@@ -455,12 +455,12 @@
       if (h.cut) {
         continue;
       }
-      if (e.how == Ended::How::expired) {
+      if (e.outcome == FinishedJob::Outcome::expired) {
         if (eyes) {
           eyes->not_run(w.id, e.id);
         }
         send(c, h, answer(504, "X-Not-Run: 1\r\n" + load_header(h), ""));
-      } else if (h.luck.chance(h.model.condition().spoilt_share)) {
+      } else if (h.luck.chance(h.model.condition().malformed_share)) {
         c->reply("HTTP/1.1 2x0 \x01\x02 spoilt\r\nContent-Length: -5\r\n\r\nnoise");
       } else if (h.luck.chance(h.model.traits().error_rate)) {
         send(c, h, answer(500, load_header(h), ""));
@@ -507,7 +507,7 @@
 
   void start_host(std::uint32_t number) {
     Host& h = hosts[number];
-    if (h.model.running() && !h.model.fallen()) {
+    if (h.model.running() && !h.model.collapse()) {
       stop_host(number);
     }
     h.model.restart(clock.now());
@@ -518,8 +518,8 @@
 
   // --- Discovery ---
 
-  void tell(const Listed& listed) {
-    discovery.tell(clock.now(), listed);
+  void tell(const ListedHost& listed) {
+    discovery.publish(clock.now(), listed);
     enter_list_move();
   }
 
@@ -553,7 +553,7 @@
     });
   }
 
-  json entry_of(const Listed& l, std::uint32_t gateway) const {
+  json entry_of(const ListedHost& l, std::uint32_t gateway) const {
     const Host& h = hosts[l.host];
     const tcp::endpoint seen = view ? view(gateway, l.host) : h.endpoint;
     std::int64_t boot = 0;
@@ -565,19 +565,20 @@
             {"az", s.zones[h.place.zone].name},
             {"model", s.hosts.kinds[h.place.kind].name},
             {"pod_group", h.place.cell},
-            {"state", l.phase == EndpointState::active     ? "SERVING"
-                      : l.phase == EndpointState::draining ? "DRAINING"
+            {"state", l.state == EndpointState::active     ? "SERVING"
+                      : l.state == EndpointState::draining ? "DRAINING"
                                                            : "DELETED"},
             {"capacity_hint", 1.0},
             {"boot_ms", boot}};
   }
   static std::string uid_of(std::uint32_t host) { return "host-" + std::to_string(host); }
 
-  json list_since(std::uint64_t since, std::uint32_t gateway, std::vector<Listed>& entries) const {
+  json list_since(std::uint64_t since, std::uint32_t gateway,
+                  std::vector<ListedHost>& entries) const {
     bool whole = false;
-    entries = discovery.since(since, whole);
+    entries = discovery.changes_since(since, whole);
     json out{{"rev", discovery.revision()}, {"all", whole}, {"targets", json::array()}};
-    for (const Listed& l : entries) {
+    for (const ListedHost& l : entries) {
       out["targets"].push_back(entry_of(l, gateway));
     }
     return out;
@@ -588,16 +589,16 @@
     if (!c || !c->open()) {
       return;
     }
-    std::vector<Listed> entries;
+    std::vector<ListedHost> entries;
     const json out = list_since(w.since, w.gateway, entries);
-    for (const Listed& l : entries) {
-      if (l.phase == EndpointState::removed) {
+    for (const ListedHost& l : entries) {
+      if (l.state == EndpointState::removed) {
         told[w.gateway].erase(l.host);
       } else {
         told[w.gateway][l.host] = l.started;
       }
       if (eyes) {
-        eyes->told(clock.now(), w.gateway, l.host, l.phase);
+        eyes->told(clock.now(), w.gateway, l.host, l.state);
       }
     }
     c->reply(answer(200, "Content-Type: application/json\r\n", out.dump()));
@@ -635,7 +636,7 @@
     }
     bool whole = false;
     const DiscoveryModel::Call call =
-        discovery.call(clock.now(), discovery.since(since, whole).size());
+        discovery.call(clock.now(), discovery.changes_since(since, whole).size());
     clock.at(call.at, [this, w, ok = call.ok, weak = weak_from_this()] {
       const auto self = weak.lock();
       if (!self) {
@@ -673,48 +674,48 @@
   // --- Troubles ---
 
   // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): too long
-  void carry_out(const Step& step, const std::function<void(const Step&)>& other) {
+  void carry_out(const FaultStep& step, const std::function<void(const FaultStep&)>& other) {
     switch (step.kind) {
-      case StepKind::condition_on:
-      case StepKind::condition_off:
-        for (std::uint32_t number : step.who) {
+      case FaultStepKind::condition_on:
+      case FaultStepKind::condition_off:
+        for (std::uint32_t number : step.targets) {
           Host& h = hosts[number];
-          std::erase(h.troubles, step.trouble);
-          if (step.kind == StepKind::condition_on) {
-            h.troubles.push_back(step.trouble);
+          std::erase(h.troubles, step.fault);
+          if (step.kind == FaultStepKind::condition_on) {
+            h.troubles.push_back(step.fault);
           }
           Condition c;
           for (std::uint32_t t : h.troubles) {
-            c = together(c, plan.conditions[t]);
+            c = combine(c, plan.conditions[t]);
           }
           h.model.set_condition(clock.now(), c, ended);
           after_host(number);
         }
         return;
-      case StepKind::host_stop:
-        for (std::uint32_t h : step.who) {
+      case FaultStepKind::host_stop:
+        for (std::uint32_t h : step.targets) {
           stop_host(h);
         }
         return;
-      case StepKind::host_start:
-        for (std::uint32_t h : step.who) {
+      case FaultStepKind::host_start:
+        for (std::uint32_t h : step.targets) {
           start_host(h);
         }
         return;
-      case StepKind::host_new:
-        return add_host(layout.hosts[step.who[0]], true, false);
-      case StepKind::host_drain:
-        for (std::uint32_t h : step.who) {
+      case FaultStepKind::host_add:
+        return add_host(layout.hosts[step.targets[0]], true, false);
+      case FaultStepKind::host_drain:
+        for (std::uint32_t h : step.targets) {
           tell({h, EndpointState::draining, hosts[h].started_at});
         }
         return;
-      case StepKind::host_cut:
-        for (std::uint32_t h : step.who) {
+      case FaultStepKind::host_unreachable:
+        for (std::uint32_t h : step.targets) {
           hosts[h].cut = true;
         }
         return;
-      case StepKind::host_back:
-        for (std::uint32_t h : step.who) {
+      case FaultStepKind::host_reachable:
+        for (std::uint32_t h : step.targets) {
           hosts[h].cut = false;
           const auto connections = hosts[h].connections;
           for (const auto& c : connections) {
@@ -722,17 +723,17 @@
           }
         }
         return;
-      case StepKind::gateway_stop:
-      case StepKind::gateway_start:
+      case FaultStepKind::gateway_stop:
+      case FaultStepKind::gateway_start:
         return other(step);
-      case StepKind::stale_more:
-      case StepKind::stale_less:
-        stale += step.kind == StepKind::stale_more ? step.amount : -step.amount;
-        discovery.set_stale(from_seconds(std::max(stale, 0.0)));
+      case FaultStepKind::list_delay_increase:
+      case FaultStepKind::list_delay_decrease:
+        stale += step.kind == FaultStepKind::list_delay_increase ? step.amount : -step.amount;
+        discovery.set_extra_delay(from_seconds(std::max(stale, 0.0)));
         return;
-      case StepKind::discovery_down:
-      case StepKind::discovery_up:
-        down = step.kind == StepKind::discovery_down;
+      case FaultStepKind::discovery_down:
+      case FaultStepKind::discovery_up:
+        down = step.kind == FaultStepKind::discovery_down;
         discovery.set_down(down);
         if (!down) {
           return;
@@ -772,7 +773,7 @@
   std::uint64_t seed;
   LiveEyes* eyes;
   FleetTopology layout;
-  Plan plan;
+  FaultSchedule plan;
   DiscoveryModel discovery;
   Random network;
   Duration unix_begin{};
@@ -783,7 +784,7 @@
   std::map<std::uint64_t, Work> work;  // by job
   std::vector<Watcher> watchers;
   std::vector<std::map<std::uint32_t, Time>> told;  // by gateway: hosts and the start it knows
-  std::vector<Ended> ended;
+  std::vector<FinishedJob> ended;
   std::uint64_t jobs = 0;
   Time list_moves_at{};
   double stale = 0;
@@ -793,7 +794,7 @@
 LiveFleet::LiveFleet(asio::io_context& io, LiveClock& clock, const Scenario& scenario,
                      std::uint64_t seed, LiveEyes* eyes)
     : impl_(std::make_shared<Impl>(io, clock, scenario, seed, eyes)) {
-  for (const HostPlace& place : impl_->layout.hosts) {
+  for (const HostPlacement& place : impl_->layout.hosts) {
     impl_->add_host(place, scenario.hosts.start == "cold", true);
   }
   impl_->told.resize(impl_->layout.gateway_zones.size());
@@ -822,13 +823,13 @@
   impl_->view = std::move(view);
 }
 json LiveFleet::list(std::uint32_t gateway) const {
-  std::vector<Listed> entries;
+  std::vector<ListedHost> entries;
   return impl_->list_since(0, gateway, entries);
 }
 const FleetTopology& LiveFleet::layout() const {
   return impl_->layout;
 }
-const Plan& LiveFleet::plan() const {
+const FaultSchedule& LiveFleet::plan() const {
   return impl_->plan;
 }
 std::string LiveFleet::uid_of(std::uint32_t host) const {
@@ -838,7 +839,7 @@
   return impl_->hosts.size();
 }
 std::size_t LiveFleet::holds(std::uint32_t host) const {
-  return impl_->hosts.at(host).model.holds();
+  return impl_->hosts.at(host).model.active_jobs();
 }
 std::size_t LiveFleet::connections(std::uint32_t host) const {
   return impl_->hosts.at(host).connections.size();
@@ -853,9 +854,9 @@
   }
   return sum;
 }
-void LiveFleet::begin_troubles(const std::function<void(const Step&)>& other) {
+void LiveFleet::begin_troubles(const std::function<void(const FaultStep&)>& other) {
   const Time begin = impl_->clock.now();
-  for (const Step& step : impl_->plan.steps) {
+  for (const FaultStep& step : impl_->plan.steps) {
     impl_->clock.at(begin + step.at,
                     [impl = impl_.get(), &step, other, weak = std::weak_ptr(impl_)] {
                       if (const auto self = weak.lock()) {
--- a/src/lab/live/live_fleet.hpp
+++ b/src/lab/live/live_fleet.hpp
@@ -80,7 +80,7 @@
   nlohmann::json list(
       std::uint32_t gateway) const;  // whole, in discovery's form, as a gateway is told it
   const FleetTopology& layout() const;
-  const Plan& plan() const;
+  const FaultSchedule& plan() const;
   std::string uid_of(std::uint32_t host) const;
   std::size_t hosts() const;
   std::size_t holds(std::uint32_t host) const;
@@ -90,7 +90,7 @@
 
   // From now on the scenario's troubles happen. Restarts of gateways are not carried out here:
   // `other` is given each such step.
-  void begin_troubles(const std::function<void(const Step&)>& other);
+  void begin_troubles(const std::function<void(const FaultStep&)>& other);
   void stop_host(std::uint32_t host);
   void start_host(std::uint32_t host);  // cold
   void close();                         // of all sockets
--- a/src/lab/live/live_run.cpp
+++ b/src/lab/live/live_run.cpp
@@ -47,7 +47,7 @@
 // The rule on held-back answers is judged from what is under way at the hosts; a live run does not
 // see attempts to connect, so there it would blame the innocent.
 RulesSpec live_rules(RulesSpec rules) {
-  rules.held_back_ms = 60000;
+  rules.max_rejection_delay_ms = 60000;
   return rules;
 }
 
@@ -120,7 +120,7 @@
     }
   }
   void reached(Time now, std::uint64_t id, std::uint64_t attempt, std::uint32_t host) override {
-    const HostPlace& place = fleet_.layout().hosts[host % fleet_.layout().hosts.size()];
+    const HostPlacement& place = fleet_.layout().hosts[host % fleet_.layout().hosts.size()];
     referee_.reached(now, id, attempt, host, place.zone, place.cell, now);
   }
   void not_run(std::uint64_t id, std::uint64_t attempt) override {
@@ -132,7 +132,7 @@
     referee_.told(now, gateway, host, phase);
   }
   void fell(Time now, std::uint32_t host, const Collapse& f) override {
-    referee_.fell(now, host, f.known_share, f.pushed, f.borne);
+    referee_.fell(now, host, f.informed_share, f.work_sent, f.work_limit);
   }
   std::uint32_t gateway_of(std::uint64_t id) override {
     const auto it = sent_to_.find(id);
@@ -163,7 +163,7 @@
   void next_first_try();
   void start_try(std::uint32_t wish);
   void send_try(const std::shared_ptr<Try>& t);
-  void end_try(const std::shared_ptr<Try>& t, TryEnd end, Duration retry_after);
+  void end_try(const std::shared_ptr<Try>& t, RequestOutcome end, Duration retry_after);
   void operator_call(const std::string& target);
   void hand_moves();
   void each_second();
@@ -211,7 +211,7 @@
   std::unique_ptr<Traffic> traffic_;
   std::unique_ptr<Clients> clients_;
   std::unordered_map<std::uint64_t, std::uint32_t> sent_to_;  // open ids and their gateway
-  FirstTry coming_;
+  Arrival coming_;
   bool traffic_over_ = false, failed_ = false;
   std::string failure_;
   Time begin_{};
@@ -350,7 +350,7 @@
   Gateway& g = gateways_[number];
   switch (move.what) {
     case RigMove::What::kill:
-      return kill_gateway(number, from_seconds(s_.gateways.notice_s.draw(front_)));
+      return kill_gateway(number, from_seconds(s_.gateways.failure_detection_s.draw(front_)));
     case RigMove::What::pause:
       g.paused_at = clock_.now();
       return g.process->kill(SIGSTOP);
@@ -454,7 +454,7 @@
   for (const RigMove& m : rig().moves) {
     calm = std::min(calm, m.at_s);
   }
-  for (const TroubleTime& t : fleet_.plan().times) {
+  for (const FaultInterval& t : fleet_.plan().intervals) {
     calm = std::min(calm, to_seconds(t.from));
   }
   std::vector<double> peaks;
@@ -479,7 +479,7 @@
   Gateway& g = gateways_[number];
   const std::uint64_t start[2] = {number, g.starts++};
   const std::uint64_t seed = XXH3_64bits_withSeed(start, sizeof start, seed_);
-  const load_balancer::Settings module = module_settings(s_, number, s_.zones[g.zone].name, seed);
+  const load_balancer::Settings module = balancer_settings(s_, number, s_.zones[g.zone].name, seed);
   referee_.gateway_started(number);
   g.process->start(platform_settings(module, s_), fleet_.list(number), seed);
   ask_ready(number, clock_.now());
@@ -513,19 +513,23 @@
     return;
   }
   clock_.at(coming_.at, [this] {
-    const std::uint32_t wish = clients_->wish(coming_);
+    const std::uint32_t wish = clients_->begin_operation(coming_);
     next_first_try();
     start_try(wish);
   });
 }
 
 std::string LiveDay::text_of(const Try& t) const {
-  const FirstTry& what = clients_->what(t.wish);
+  const Arrival& what = clients_->arrival(t.wish);
   const ClassSpec& c = s_.classes[what.cls];
-  RequestLine line{
-      c.name, what.work * 1e6,        what.key, t.id, (t.deadline - clock_.now()).count() / 1000000,
-      "",     c.effect != "retryable"};
-  if (c.effect == "dedup") {
+  RequestLine line{c.name,
+                   what.work * 1e6,
+                   what.key,
+                   t.id,
+                   (t.deadline - clock_.now()).count() / 1000000,
+                   "",
+                   c.idempotency != "retryable"};
+  if (c.idempotency == "dedup") {
     char key[40];
     std::snprintf(key, sizeof key, "%016llx%016llx",
                   static_cast<unsigned long long>(what.at.count()),
@@ -536,10 +540,10 @@
 }
 
 void LiveDay::start_try(std::uint32_t wish) {
-  const Clients::TryPlan plan = clients_->begin_try(clock_.now(), wish);
+  const Clients::RequestPlan plan = clients_->begin_request(clock_.now(), wish);
   auto t = std::make_shared<Try>();
   t->wish = wish;
-  t->deadline = clock_.now() + plan.limit;
+  t->deadline = clock_.now() + plan.timeout;
   std::vector<std::uint32_t> near;
   std::vector<std::uint32_t> any;
   for (std::uint32_t g = 0; g < gateways_.size(); ++g) {
@@ -547,17 +551,17 @@
       continue;
     }
     any.push_back(g);
-    if (gateways_[g].zone == clients_->what(wish).zone) {
+    if (gateways_[g].zone == clients_->arrival(wish).zone) {
       near.push_back(g);
     }
   }
   const std::vector<std::uint32_t>& from = near.empty() ? any : near;
   t->gateway = from.empty() ? static_cast<std::uint32_t>(front_.below(gateways_.size()))
-                            : choose_at_front(s_.gateways, from, front_);
+                            : draw_gateway(s_.gateways, from, front_);
   t->sent_at = clock_.now();
   ++tries_;
   send_try(t);
-  clock_.at(t->deadline + from_millis(rules_.answer_slack_ms), [this, t] {
+  clock_.at(t->deadline + from_millis(rules_.response_slack_ms), [this, t] {
     if (t->over) {
       return;
     }
@@ -566,15 +570,15 @@
     } else {
       referee_.client_gave_up(clock_.now(), t->id);
     }
-    end_try(t, TryEnd::unanswered, {});
+    end_try(t, RequestOutcome::unanswered, {});
   });
-  if (plan.leaves) {
-    clock_.at(clock_.now() + *plan.leaves, [this, t] {
+  if (plan.disconnect_after) {
+    clock_.at(clock_.now() + *plan.disconnect_after, [this, t] {
       if (t->over) {
         return;
       }
       referee_.excused(t->id);
-      end_try(t, TryEnd::unanswered, {});
+      end_try(t, RequestOutcome::unanswered, {});
     });
   }
 }
@@ -599,7 +603,8 @@
           return;
         }
         t->wrote = true;
-        referee_.taken(clock_.now(), t->id, clients_->what(t->wish).cls, t->gateway, t->deadline);
+        referee_.taken(clock_.now(), t->id, clients_->arrival(t->wish).cls, t->gateway,
+                       t->deadline);
       },
       [this, t, reused](const Exchange::Outcome& o, std::unique_ptr<tcp::socket> kept) {
         if (kept) {
@@ -620,9 +625,9 @@
             wait = from_seconds(std::strtod(o.retry_after.c_str(), nullptr));
           }
           return end_try(t,
-                         served    ? TryEnd::served
-                         : refused ? TryEnd::refused
-                                   : TryEnd::failed,
+                         served    ? RequestOutcome::served
+                         : refused ? RequestOutcome::refused
+                                   : RequestOutcome::failed,
                          wait);
         }
         // The gateway may close a connection between requests; if that crossed this one, it is sent
@@ -639,24 +644,24 @@
         } else {
           referee_.client_gave_up(clock_.now(), t->id);  // a living gateway broke it off: lost
         }
-        end_try(t, o.written ? TryEnd::failed : TryEnd::unreachable, {});
+        end_try(t, o.written ? RequestOutcome::failed : RequestOutcome::unreachable, {});
       });
   t->exchange = exchange;
   exchange->begin(g.process->place().listen);
 }
 
-void LiveDay::end_try(const std::shared_ptr<Try>& t, TryEnd end, Duration retry_after) {
+void LiveDay::end_try(const std::shared_ptr<Try>& t, RequestOutcome end, Duration retry_after) {
   t->over = true;
-  if (end == TryEnd::unanswered) {
+  if (end == RequestOutcome::unanswered) {
     if (const auto exchange = t->exchange.lock()) {
       exchange->abandon();
     }
   }
   const Time now = clock_.now();
-  if (end == TryEnd::served && now > t->deadline) {
-    end = TryEnd::unanswered;
+  if (end == RequestOutcome::served && now > t->deadline) {
+    end = RequestOutcome::unanswered;
   }
-  if (const auto wait = clients_->end_try(now, t->wish, end, retry_after)) {
+  if (const auto wait = clients_->end_request(now, t->wish, end, retry_after)) {
     clock_.at(now + *wait, [this, wish = t->wish] { start_try(wish); });
   }
   // Attempts may still be out at hosts; they are judged till then.
@@ -769,22 +774,22 @@
   }
 
   begin_ = clock_.now() + kSettleIn;
-  traffic_ = std::make_unique<Traffic>(s_, seed_, fleet_.layout().rate, begin_);
+  traffic_ = std::make_unique<Traffic>(s_, seed_, fleet_.layout().request_rate, begin_);
   clients_ = std::make_unique<Clients>(s_, seed_, begin_, tally_);
   if (options_.show_each_second) {
     std::printf("%6s %10s %11s %9s %9s %7s\n", "second", "tries", "in time", "refused", "held",
                 "hosts up");
   }
   clock_.at(begin_, [this] {
-    fleet_.begin_troubles([this](const Step& step) {
-      for (std::uint32_t g : step.who) {
+    fleet_.begin_troubles([this](const FaultStep& step) {
+      for (std::uint32_t g : step.targets) {
         Gateway& gate = gateways_[g];
-        if (step.kind == StepKind::gateway_start) {
+        if (step.kind == FaultStepKind::gateway_start) {
           gate.process->running();
           start_gateway(g);
           continue;
         }
-        kill_gateway(g, from_seconds(s_.gateways.notice_s.draw(front_)));
+        kill_gateway(g, from_seconds(s_.gateways.failure_detection_s.draw(front_)));
       }
     });
     each_second();
@@ -797,7 +802,7 @@
   const Time end = begin_ + from_seconds(s_.length_s);
   LiveResult result(DayResult{s_.name, seed_, RunMetrics(s_), {}, {}, 0, 0});
   while (!stopped() && !failed_ && clock_.now() < end + kAfterwards &&
-         !(traffic_over_ && clients_->open() == 0 && clock_.now() >= end)) {
+         !(traffic_over_ && clients_->open_operations() == 0 && clock_.now() >= end)) {
     io_.run_for(std::chrono::milliseconds(20));
   }
   result.stopped = stopped();
@@ -824,7 +829,7 @@
   const double cpu = children_cpu_seconds() - cpu_before;
   // what was useful is not seen from here
   tally_.work_done = tally_.work_useful = fleet_.work_done();
-  tally_.troubles = fleet_.plan().times;
+  tally_.troubles = fleet_.plan().intervals;
   result.day = DayResult{s_.name,
                          seed_,
                          tally_,
--- a/src/lab/load/overhead.cpp
+++ b/src/lab/load/overhead.cpp
@@ -111,8 +111,8 @@
   const ClassSpec& c = scenario.classes.front();
   const DueRequest what{{}, c.name, c.work_ms.middle() * 1e3, 0};
   LoadOptions load;
-  load.deadline = from_millis(c.give_up_ms);
-  load.post = c.effect != "retryable";
+  load.deadline = from_millis(c.client_timeout_ms);
+  load.post = c.idempotency != "retryable";
   load.stopped = o.stopped;
   const auto send = [&](double seconds) {
     return send_load(*staged({{o.rate, seconds}}, what, true, seed), load);
@@ -128,7 +128,7 @@
                          {"g0", free_address(), free_address(), emulator.address().discovery,
                           std::filesystem::path(o.folder)});
   const load_balancer::Settings module =
-      module_settings(scenario, 0, scenario.zones.front().name, seed);
+      balancer_settings(scenario, 0, scenario.zones.front().name, seed);
   gateway.start(platform_settings(module, scenario), emulator.address().list, seed);
   const auto since = std::chrono::steady_clock::now();
   while (!is_ready(gateway.place().listen)) {
--- a/src/lab/model/clients.cpp
+++ b/src/lab/model/clients.cpp
@@ -10,65 +10,67 @@
   backoff_ = s.clients.backoff_ms.draw(random_) / 1e3;
 }
 
-Clients::WishId Clients::wish(const FirstTry& first) {
+Clients::OperationId Clients::begin_operation(const Arrival& first) {
   if (free_.empty()) {
-    free_.push_back(static_cast<WishId>(wishes_.size()));
+    free_.push_back(static_cast<OperationId>(wishes_.size()));
     wishes_.emplace_back();
   }
-  const WishId id = free_.back();
+  const OperationId id = free_.back();
   free_.pop_back();
   ++open_;
   const ClassSpec& c = scenario_.classes[first.cls];
   Wish& w = wishes_[id] = Wish{};
   w.first = first;
-  w.deadline = first.at + from_millis(c.give_up_ms);
+  w.deadline = first.at + from_millis(c.client_timeout_ms);
   w.honours = random_.chance(scenario_.clients.honour);
   w.share = share_;
   w.backoff = backoff_;
-  w.worth = c.worth * first.work;  // worth counts for each unit of work; BRIEF 4.2
+  w.worth = c.priority_weight * first.work;  // worth counts for each unit of work; BRIEF 4.2
   tally_.wish(first.cls, w.worth, first.at - start_);
   return id;
 }
 
-Clients::TryPlan Clients::begin_try(Time now, WishId id) {
+Clients::RequestPlan Clients::begin_request(Time now, OperationId id) {
   Wish& w = wishes_[id];
   ++w.tries;
   ++tally_.classes[w.first.cls].tries;
-  const Duration whole = from_millis(scenario_.classes[w.first.cls].give_up_ms);
-  TryPlan plan;
-  plan.limit =
+  const Duration whole = from_millis(scenario_.classes[w.first.cls].client_timeout_ms);
+  RequestPlan plan;
+  plan.timeout =
       std::min(Duration(static_cast<Duration::rep>(static_cast<double>(whole.count()) * w.share)),
                w.deadline - now);
   if (random_.chance(scenario_.clients.impatient)) {
-    plan.leaves = Duration(
-        static_cast<Duration::rep>(static_cast<double>(plan.limit.count()) * random_.unit()));
+    plan.disconnect_after = Duration(
+        static_cast<Duration::rep>(static_cast<double>(plan.timeout.count()) * random_.unit()));
   }
   return plan;
 }
 
 // Clients repeat what is safe after any failure, what hosts drop anywhere likewise, and anything
 // else only where nothing can have run. Source: WIRE, "What clients do".
-bool Clients::may_come_again(const Wish& w, TryEnd end) const {
-  if (end == TryEnd::served || w.tries > scenario_.clients.retries) {
+bool Clients::may_come_again(const Wish& w, RequestOutcome end) const {
+  if (end == RequestOutcome::served || w.tries > scenario_.clients.retries) {
     return false;
   }
   const ClassSpec& c = scenario_.classes[w.first.cls];
-  if (end == TryEnd::refused || end == TryEnd::unreachable) {
+  if (end == RequestOutcome::refused || end == RequestOutcome::unreachable) {
     return true;
   }
-  return c.effect == "retryable" || (c.effect == "dedup" && c.group == "all");
+  return c.idempotency == "retryable" ||
+         (c.idempotency == "dedup" && c.deduplication_scope == "all");
 }
 
-std::optional<Duration> Clients::end_try(Time now, WishId id, TryEnd end, Duration retry_after) {
+std::optional<Duration> Clients::end_request(Time now, OperationId id, RequestOutcome end,
+                                             Duration retry_after) {
   Wish& w = wishes_[id];
   const ClassSpec& c = scenario_.classes[w.first.cls];
-  if (end == TryEnd::refused) {
+  if (end == RequestOutcome::refused) {
     tally_.refusal(w.first.cls, now - start_);
   }
   if (may_come_again(w, end)) {
     double wait = w.backoff * static_cast<double>(1u << std::min(w.tries - 1, 10u)) *
                   random_.between(0.5, 1.5);
-    if (end == TryEnd::refused && w.honours) {
+    if (end == RequestOutcome::refused && w.honours) {
       const Duration heeded =
           std::min(retry_after, from_millis(scenario_.limits.max_retry_after_ms));
       wait = std::max(wait, to_seconds(heeded));
@@ -79,14 +81,15 @@
   }
   const Duration taken = now - w.first.at;
   RequestResult fate = RequestResult::failed;
-  if (end == TryEnd::served) {
-    fate = taken <= from_millis(c.aim_ms) ? RequestResult::in_time : RequestResult::late;
-  } else if (end == TryEnd::refused) {
+  if (end == RequestOutcome::served) {
+    fate =
+        taken <= from_millis(c.latency_objective_ms) ? RequestResult::in_time : RequestResult::late;
+  } else if (end == RequestOutcome::refused) {
     fate = RequestResult::refused;
-  } else if (end == TryEnd::unanswered || end == TryEnd::unreachable) {
+  } else if (end == RequestOutcome::unanswered || end == RequestOutcome::unreachable) {
     fate = RequestResult::unanswered;
   }
-  tally_.fate(w.first.cls, w.worth, w.first.at - start_, fate, c.late_share, taken);
+  tally_.fate(w.first.cls, w.worth, w.first.at - start_, fate, c.late_value_fraction, taken);
   free_.push_back(id);
   --open_;
   return std::nullopt;
--- a/src/lab/model/clients.hpp
+++ b/src/lab/model/clients.hpp
@@ -15,7 +15,7 @@
 
 namespace gateway::lab {
 
-enum class TryEnd {
+enum class RequestOutcome {
   served,
   refused,
   failed,
@@ -27,33 +27,34 @@
  public:
   Clients(const Scenario& scenario, std::uint64_t seed, Time start, RunMetrics& tally);
 
-  using WishId = std::uint32_t;  // given out again once the wish is over
-  WishId wish(const FirstTry& first);
-  const FirstTry& what(WishId wish) const { return wishes_[wish].first; }
+  using OperationId = std::uint32_t;  // given out again once the wish is over
+  OperationId begin_operation(const Arrival& first);
+  const Arrival& arrival(OperationId wish) const { return wishes_[wish].first; }
 
   // A try sets out: how long its client will wait. `leaves`: it will go away after that time
   // without a word.
-  struct TryPlan {
-    Duration limit{};
-    std::optional<Duration> leaves;
+  struct RequestPlan {
+    Duration timeout{};
+    std::optional<Duration> disconnect_after;
   };
-  TryPlan begin_try(Time now, WishId wish);
+  RequestPlan begin_request(Time now, OperationId wish);
 
   // What became of the try. The wait until the next one, or none: the wish is over and its id is
   // free.
-  std::optional<Duration> end_try(Time now, WishId wish, TryEnd end, Duration retry_after);
+  std::optional<Duration> end_request(Time now, OperationId wish, RequestOutcome end,
+                                      Duration retry_after);
 
-  std::size_t open() const { return open_; }
+  std::size_t open_operations() const { return open_; }
 
  private:
   struct Wish {
-    FirstTry first;
+    Arrival first;
     Time deadline{};
     unsigned tries = 0;
     bool honours = false;
     double share = 0.5, backoff = 0.1, worth = 0;
   };
-  bool may_come_again(const Wish& wish, TryEnd end) const;
+  bool may_come_again(const Wish& wish, RequestOutcome end) const;
 
   const Scenario& scenario_;
   RunMetrics& tally_;
@@ -61,7 +62,7 @@
   Time start_;
   double share_, backoff_;
   std::vector<Wish> wishes_;
-  std::vector<WishId> free_;
+  std::vector<OperationId> free_;
   std::size_t open_ = 0;
 };
 
--- a/src/lab/model/discovery_model.cpp
+++ b/src/lab/model/discovery_model.cpp
@@ -9,26 +9,28 @@
 DiscoveryModel::DiscoveryModel(const DiscoverySpec& spec, std::uint64_t seed)
     : spec_(spec), random_(seed, "discovery") {}
 
-void DiscoveryModel::tell(Time now, const Listed& truth) {
-  const bool up = truth.phase == load_balancer::EndpointState::active;
-  Time due = now + from_seconds((up ? spec_.add_s : spec_.notice_s).draw(random_)) + stale_;
+void DiscoveryModel::publish(Time now, const ListedHost& truth) {
+  const bool up = truth.state == load_balancer::EndpointState::active;
+  Time due = now +
+             from_seconds((up ? spec_.addition_delay_s : spec_.removal_delay_s).draw(random_)) +
+             stale_;
   Time& last = last_due_[truth.host];
   due = last = std::max(due, last);
   coming_.add(due, truth);
 }
 
-void DiscoveryModel::tell_at_once(Time now, const Listed& truth) {
+void DiscoveryModel::publish_immediately(Time now, const ListedHost& truth) {
   enter(now, truth);
 }
 
-void DiscoveryModel::enter(Time now, const Listed& listed) {
+void DiscoveryModel::enter(Time now, const ListedHost& listed) {
   rows_[listed.host] = {listed, ++revision_, now};
 }
 
-std::vector<Listed> DiscoveryModel::advance(Time now) {
-  std::vector<Listed> fresh;
+std::vector<ListedHost> DiscoveryModel::advance(Time now) {
+  std::vector<ListedHost> fresh;
   while (coming_.next_at() <= now) {
-    const Listed listed = coming_.take();
+    const ListedHost listed = coming_.pop();
     enter(now, listed);
     fresh.push_back(listed);
     if (const auto due = last_due_.find(listed.host);
@@ -41,7 +43,7 @@
     std::erase_if(rows_, [&](const auto& row) {
       const Row& r = row.second;
       const bool old =
-          r.listed.phase == load_balancer::EndpointState::removed && r.at + kKeepGone < now;
+          r.listed.state == load_balancer::EndpointState::removed && r.at + kKeepGone < now;
       if (old) {
         forgotten_ = std::max(forgotten_, r.revision);
       }
@@ -51,11 +53,11 @@
   return fresh;
 }
 
-std::vector<Listed> DiscoveryModel::since(std::uint64_t revision, bool& whole) const {
+std::vector<ListedHost> DiscoveryModel::changes_since(std::uint64_t revision, bool& whole) const {
   whole = revision < forgotten_ || revision == 0;
-  std::vector<Listed> entries;
+  std::vector<ListedHost> entries;
   for (const auto& [host, row] : rows_) {
-    if (whole ? row.listed.phase != load_balancer::EndpointState::removed
+    if (whole ? row.listed.state != load_balancer::EndpointState::removed
               : row.revision > revision) {
       entries.push_back(row.listed);
     }
--- a/src/lab/model/discovery_model.hpp
+++ b/src/lab/model/discovery_model.hpp
@@ -12,9 +12,9 @@
 
 namespace gateway::lab {
 
-struct Listed {
+struct ListedHost {
   std::uint32_t host = 0;
-  load_balancer::EndpointState phase = load_balancer::EndpointState::active;
+  load_balancer::EndpointState state = load_balancer::EndpointState::active;
   Time started{};  // zero: long ago
 };
 
@@ -23,18 +23,18 @@
   DiscoveryModel(const DiscoverySpec& spec, std::uint64_t seed);
 
   // True from `now`; the list knows of it later. At the start of a day: at once.
-  void tell(Time now, const Listed& truth);
-  void tell_at_once(Time now, const Listed& truth);
-  void set_stale(Duration extra) { stale_ = extra; }  // for what happens from now on
+  void publish(Time now, const ListedHost& truth);
+  void publish_immediately(Time now, const ListedHost& truth);
+  void set_extra_delay(Duration extra) { stale_ = extra; }  // for what happens from now on
   void set_down(bool down) { down_ = down; }
 
   Time next_event() const { return coming_.next_at(); }
-  std::vector<Listed> advance(Time now);  // what the list has come to know by now, in order
+  std::vector<ListedHost> advance(Time now);  // what the list has come to know by now, in order
 
   std::uint64_t revision() const { return revision_; }
   // Entries newer than that revision, in order of host; `whole`: it is too old, this is the whole
   // list.
-  std::vector<Listed> since(std::uint64_t revision, bool& whole) const;
+  std::vector<ListedHost> changes_since(std::uint64_t revision, bool& whole) const;
 
   struct Call {
     Time at;  // when the answer leaves discovery
@@ -45,15 +45,15 @@
 
  private:
   struct Row {
-    Listed listed;
+    ListedHost listed;
     std::uint64_t revision;
     Time at;
   };
-  void enter(Time now, const Listed& listed);
+  void enter(Time now, const ListedHost& listed);
 
   DiscoverySpec spec_;
   Random random_;
-  EventQueue<Listed> coming_;
+  EventQueue<ListedHost> coming_;
   std::map<std::uint32_t, Time> last_due_;  // changes of one host keep their order
   std::map<std::uint32_t, Row> rows_;
   std::uint64_t revision_ = 0, forgotten_ = 0, lines_ = 0;
--- a/src/lab/model/edge_router.hpp
+++ b/src/lab/model/edge_router.hpp
@@ -10,8 +10,8 @@
 namespace gateway::lab {
 
 // One of `from`, which is not empty: each as likely, but for the scenario's heavy ones.
-inline std::uint32_t choose_at_front(const GatewaysSpec& spec,
-                                     const std::vector<std::uint32_t>& from, Random& random) {
+inline std::uint32_t draw_gateway(const GatewaysSpec& spec, const std::vector<std::uint32_t>& from,
+                                  Random& random) {
   const double most = spec.heavy > 0 ? std::max(spec.heavy_times, 1.0) : 1;
   for (;;) {
     const std::uint32_t gateway = from[random.below(from.size())];
--- a/src/lab/model/event_queue.hpp
+++ b/src/lab/model/event_queue.hpp
@@ -31,7 +31,7 @@
  public:
   void add(Time at, Event event) { heap_.push({at, next_++, std::move(event)}); }
   Time next_at() const { return heap_.empty() ? kNever : heap_.top().at; }
-  Event take() {  // not on an empty one
+  Event pop() {  // not on an empty one
     Event event = std::move(heap_.top().event);
     heap_.pop();
     return event;
--- a/src/lab/model/fleet_topology.cpp
+++ b/src/lab/model/fleet_topology.cpp
@@ -52,7 +52,7 @@
 
 }  // namespace
 
-FleetTopology draw_layout(const Scenario& s, std::uint64_t seed) {
+FleetTopology draw_topology(const Scenario& s, std::uint64_t seed) {
   FleetTopology out;
   Random network(seed, "network");
   Random load(seed, "load");
@@ -81,7 +81,7 @@
   std::vector<std::uint32_t> in_zone(zones);
   for (unsigned i = 0; i < s.hosts.count; ++i) {
     Random own(seed, "host", i);
-    HostPlace place;
+    HostPlacement place;
     place.kind = host_kinds[i];
     place.zone = host_zones[i];
     place.cell = place.zone * 100000 + in_zone[place.zone]++ / s.hosts.cell_size;
@@ -92,24 +92,25 @@
   // Gateways stand where the clients are, at least one in each zone that has clients.
   out.gateway_zones = deal(s.gateways.count, std::vector<double>(zones, 1.0));
   const double drawn = s.clients.load.draw(load);
-  out.rate = s.clients.rate_per_s > 0 ? s.clients.rate_per_s : drawn * rate_for(s, out.capacity);
+  out.request_rate =
+      s.clients.rate_per_s > 0 ? s.clients.rate_per_s : drawn * rate_for(s, out.capacity);
   return out;
 }
 
-Condition together(const Condition& a, const Condition& b) {
+Condition combine(const Condition& a, const Condition& b) {
   Condition c;
-  c.slower = a.slower * b.slower;
-  c.taken = std::min(1 - (1 - a.taken) * (1 - b.taken), 0.99);
+  c.slowdown = a.slowdown * b.slowdown;
+  c.stolen_share = std::min(1 - (1 - a.stolen_share) * (1 - b.stolen_share), 0.99);
   c.error_share = std::max(a.error_share, b.error_share);
   c.reset_share = std::max(a.reset_share, b.reset_share);
-  c.spoilt_share = std::max(a.spoilt_share, b.spoilt_share);
-  c.trickle = a.trickle + b.trickle;
+  c.malformed_share = std::max(a.malformed_share, b.malformed_share);
+  c.response_delay = a.response_delay + b.response_delay;
   return c;
 }
 
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): too long
-Plan schedule_faults(const Scenario& s, const FleetTopology& layout, std::uint64_t seed) {
-  Plan plan;
+FaultSchedule schedule_faults(const Scenario& s, const FleetTopology& layout, std::uint64_t seed) {
+  FaultSchedule plan;
   const std::size_t hosts = layout.hosts.size();
   const std::size_t gateways = layout.gateway_zones.size();
   for (std::size_t i = 0; i < s.troubles.size(); ++i) {
@@ -123,21 +124,21 @@
     const double extra = t.extra.draw(random);
     Condition c;
     std::vector<std::uint32_t> who = draw_some(random, part(share, hosts), hosts);
-    const auto step = [&](Duration at, StepKind kind, std::vector<std::uint32_t> hit,
+    const auto step = [&](Duration at, FaultStepKind kind, std::vector<std::uint32_t> hit,
                           double amount = 0) {
       plan.steps.push_back({at, kind, static_cast<std::uint32_t>(i), std::move(hit), amount});
     };
     const auto hold = [&] {
-      step(from, StepKind::condition_on, who);
-      step(to, StepKind::condition_off, who);
+      step(from, FaultStepKind::condition_on, who);
+      step(to, FaultStepKind::condition_off, who);
     };
     switch (t.kind) {
       case TroubleKind::slow:
-        c.slower = std::max(size, 1.0);
+        c.slowdown = std::max(size, 1.0);
         hold();
         break;
       case TroubleKind::shared_slow:
-        c.slower = std::max(size, 1.0);
+        c.slowdown = std::max(size, 1.0);
         who = draw_some(random, hosts, hosts);
         hold();
         break;
@@ -146,14 +147,14 @@
         hold();
         break;
       case TroubleKind::neighbour: {
-        c.taken = std::min(size, 0.95);
+        c.stolen_share = std::min(size, 0.95);
         bool on = true;
         const Duration each = from_seconds(std::max(extra, 0.05));
         for (Duration at = from; at < to; at += each, on = !on) {
-          step(at, on ? StepKind::condition_on : StepKind::condition_off, who);
+          step(at, on ? FaultStepKind::condition_on : FaultStepKind::condition_off, who);
         }
         if (!on) {
-          step(to, StepKind::condition_off, who);
+          step(to, FaultStepKind::condition_off, who);
         }
         break;
       }
@@ -162,21 +163,21 @@
         hold();
         break;
       case TroubleKind::spoilt:
-        c.spoilt_share = std::min(size, 1.0);
+        c.malformed_share = std::min(size, 1.0);
         hold();
         break;
       case TroubleKind::slow_peers:
-        c.trickle = from_seconds(extra);
+        c.response_delay = from_seconds(extra);
         hold();
         break;
       case TroubleKind::stale_list:
-        step(from, StepKind::stale_more, {}, size);
-        step(to, StepKind::stale_less, {}, size);
+        step(from, FaultStepKind::list_delay_increase, {}, size);
+        step(to, FaultStepKind::list_delay_decrease, {}, size);
         who.clear();
         break;
       case TroubleKind::discovery_down:
-        step(from, StepKind::discovery_down, {});
-        step(to, StepKind::discovery_up, {});
+        step(from, FaultStepKind::discovery_down, {});
+        step(to, FaultStepKind::discovery_up, {});
         who.clear();
         break;
       case TroubleKind::gateway_roll: {
@@ -191,28 +192,28 @@
           const auto first = order.begin() + static_cast<std::ptrdiff_t>(b * batch);
           const auto last =
               order.begin() + static_cast<std::ptrdiff_t>(std::min((b + 1) * batch, order.size()));
-          step(at, StepKind::gateway_stop, {first, last});
-          step(at + from_seconds(extra), StepKind::gateway_start, {first, last});
+          step(at, FaultStepKind::gateway_stop, {first, last});
+          step(at + from_seconds(extra), FaultStepKind::gateway_start, {first, last});
         }
         break;
       }
       case TroubleKind::drain:
-        step(from, StepKind::host_drain, who);
-        step(std::min(from + from_seconds(extra), to), StepKind::host_stop, who);
-        step(to, StepKind::host_start, who);
+        step(from, FaultStepKind::host_drain, who);
+        step(std::min(from + from_seconds(extra), to), FaultStepKind::host_stop, who);
+        step(to, FaultStepKind::host_start, who);
         break;
       case TroubleKind::replace:
         // One after the other over the whole length, as a release does it.
         for (std::size_t k = 0; k < who.size(); ++k) {
           const Duration at = from + Duration(length.count() * static_cast<long>(k) /
                                               static_cast<long>(who.size()));
-          step(at, StepKind::host_stop, {who[k]});
-          step(at + from_seconds(extra), StepKind::host_new, {who[k]});
+          step(at, FaultStepKind::host_stop, {who[k]});
+          step(at + from_seconds(extra), FaultStepKind::host_add, {who[k]});
         }
         break;
       case TroubleKind::restart:
-        step(from, StepKind::host_stop, who);
-        step(from + from_seconds(extra), StepKind::host_start, who);
+        step(from, FaultStepKind::host_stop, who);
+        step(from + from_seconds(extra), FaultStepKind::host_start, who);
         break;
       case TroubleKind::zone_loss: {
         auto zone = static_cast<std::uint32_t>(random.below(s.zones.size()));
@@ -233,24 +234,24 @@
             in_zone.push_back(static_cast<std::uint32_t>(g));
           }
         }
-        step(from, StepKind::host_cut, who);
-        step(from, StepKind::gateway_stop, in_zone);
-        step(to, StepKind::host_stop, who);  // power comes back: everything starts anew
-        step(to, StepKind::host_back, who);
-        step(to, StepKind::host_start, who);
-        step(to, StepKind::gateway_start, in_zone);
+        step(from, FaultStepKind::host_unreachable, who);
+        step(from, FaultStepKind::gateway_stop, in_zone);
+        step(to, FaultStepKind::host_stop, who);  // power comes back: everything starts anew
+        step(to, FaultStepKind::host_reachable, who);
+        step(to, FaultStepKind::host_start, who);
+        step(to, FaultStepKind::gateway_start, in_zone);
         break;
       }
       case TroubleKind::silent_cut:
-        step(from, StepKind::host_cut, who);
-        step(to, StepKind::host_back, who);
+        step(from, FaultStepKind::host_unreachable, who);
+        step(to, FaultStepKind::host_reachable, who);
         break;
     }
     plan.conditions.push_back(c);
-    plan.times.push_back({std::string(name_of(t.kind)), from, to, who.size()});
+    plan.intervals.push_back({std::string(name_of(t.kind)), from, to, who.size()});
   }
   std::stable_sort(plan.steps.begin(), plan.steps.end(),
-                   [](const Step& a, const Step& b) { return a.at < b.at; });
+                   [](const FaultStep& a, const FaultStep& b) { return a.at < b.at; });
   return plan;
 }
 
--- a/src/lab/model/host_model.cpp
+++ b/src/lab/model/host_model.cpp
@@ -28,22 +28,22 @@
   t.cold_share = kind.cold_share.draw(random);
   t.cold_time = from_seconds(kind.cold_s.draw(random));
   t.error_rate = kind.error_rate.draw(random);
-  t.crowds = s.hosts.crowding.on;
-  t.crowd_holds = s.hosts.crowding.holds_per_core.draw(random) * cores;
-  t.crowd_for = from_seconds(s.hosts.crowding.for_s.draw(random));
-  t.crowd_slower = s.hosts.crowding.slower.draw(random);
-  t.crowd_below = s.hosts.crowding.below_per_core.draw(random) * cores;
-  t.crowd_rest = from_seconds(s.hosts.crowding.rest_s.draw(random));
-  t.crowd_most = from_seconds(s.hosts.crowding.most_s.draw(random));
-  t.warm_gain = s.hosts.warm.on ? s.hosts.warm.gain.draw(random) : 0;
-  t.warm_for = from_seconds(s.hosts.warm.for_s.draw(random));
+  t.crowding = s.hosts.crowding.on;
+  t.crowding_threshold = s.hosts.crowding.holds_per_core.draw(random) * cores;
+  t.crowding_delay = from_seconds(s.hosts.crowding.for_s.draw(random));
+  t.crowding_slowdown = s.hosts.crowding.slower.draw(random);
+  t.recovery_threshold = s.hosts.crowding.below_per_core.draw(random) * cores;
+  t.recovery_time = from_seconds(s.hosts.crowding.rest_s.draw(random));
+  t.max_slow_time = from_seconds(s.hosts.crowding.most_s.draw(random));
+  t.warm_key_saving = s.hosts.warm.on ? s.hosts.warm.gain.draw(random) : 0;
+  t.warm_key_ttl = from_seconds(s.hosts.warm.for_s.draw(random));
   t.warm_keys = whole(s.hosts.warm.keys_per_core);
   t.connections = std::max<std::size_t>(whole(s.hosts.connections.cap_per_core), 1);
   t.full_tax = s.hosts.connections.full_tax.draw(random);
   t.handshake_work = s.hosts.connections.handshake_us.draw(random) / 1e6;
-  t.fall_multiple = s.rules.fall_multiple;
-  t.fall_window = from_millis(s.rules.fall_ms);
-  t.fall_slack = s.rules.fall_slack_ms / 1e3;
+  t.collapse_load_factor = s.rules.collapse_load_factor;
+  t.collapse_window = from_millis(s.rules.collapse_window_ms);
+  t.collapse_slack = s.rules.collapse_slack_ms / 1e3;
   t.report_period = from_millis(s.hosts.report.period_ms.draw(random));
   t.report_delay = from_millis(s.hosts.report.delay_ms.draw(random));
   t.report_noise = s.hosts.report.noise;
@@ -68,9 +68,9 @@
 
 double HostModel::capacity(Time now) const {
   const double full = static_cast<double>(connections_) / static_cast<double>(traits_.connections);
-  return traits_.cores * traits_.speed * warmth(now) * (1 - condition_.taken) *
+  return traits_.cores * traits_.speed * warmth(now) * (1 - condition_.stolen_share) *
          (1 - traits_.full_tax * std::min(full, 1.0)) /
-         (condition_.slower * (slow_ ? traits_.crowd_slower : 1));
+         (condition_.slowdown * (slow_ ? traits_.crowding_slowdown : 1));
 }
 
 double HostModel::speed_each(Time now) const {
@@ -85,7 +85,7 @@
 
 void HostModel::renew_next(Time now) {
   next_ = kNever;
-  if (!running_ || fallen_) {
+  if (!running_ || collapse_) {
     return;
   }
   if (!working_.empty()) {
@@ -97,12 +97,12 @@
     }
   }
   if (crowded_since_ != kNever) {
-    next_ = std::min(next_, crowded_since_ + traits_.crowd_for);
+    next_ = std::min(next_, crowded_since_ + traits_.crowding_delay);
   }
   if (slow_) {
-    next_ = std::min(next_, slow_since_ + traits_.crowd_most);
+    next_ = std::min(next_, slow_since_ + traits_.max_slow_time);
     if (resting_since_ != kNever) {
-      next_ = std::min(next_, resting_since_ + traits_.crowd_rest);
+      next_ = std::min(next_, resting_since_ + traits_.recovery_time);
     }
   }
   next_ = std::max(next_, now + Duration(1));
@@ -114,7 +114,7 @@
 
 // Between two calls of this nothing that sets the speed changes, but for the warming of a cold
 // host, which is renewed in steps.
-void HostModel::advance(Time now, std::vector<Ended>& ended) {
+void HostModel::advance(Time now, std::vector<FinishedJob>& ended) {
   while (at_ < now) {
     const Time to = std::min(now, next_);
     const double passed = to_seconds(to - at_);
@@ -130,7 +130,7 @@
       const auto it = jobs_.find(id);
       latency_sum_ += to_seconds(at_ - it->second.began);
       ++latency_count_;
-      ended.push_back({id, Ended::How::done, it->second.cost});
+      ended.push_back({id, FinishedJob::Outcome::done, it->second.cost});
       jobs_.erase(it);
     }
     if (working_.empty()) {
@@ -155,7 +155,7 @@
   }
 }
 
-void HostModel::fill(Time now, std::vector<Ended>& ended) {
+void HostModel::fill(Time now, std::vector<FinishedJob>& ended) {
   while (!waiting_.empty() && working_.size() < traits_.slots) {
     const JobId id = waiting_.front();
     waiting_.pop_front();
@@ -166,7 +166,7 @@
     --waiting_count_;
     if (it->second.job.deadline <= now) {
       jobs_.erase(it);
-      ended.push_back({id, Ended::How::expired, 0});
+      ended.push_back({id, FinishedJob::Outcome::expired, 0});
       continue;
     }
     Held& h = it->second;
@@ -180,13 +180,13 @@
 
 double HostModel::cost_of(Time now, const Job& job) {
   double work = job.work + (job.handshake ? traits_.handshake_work : 0);
-  if (!job.has_key || traits_.warm_keys == 0 || traits_.warm_gain <= 0) {
+  if (!job.has_key || traits_.warm_keys == 0 || traits_.warm_key_saving <= 0) {
     return work;
   }
   const auto met = warm_at_.find(job.key);
   if (met != warm_at_.end()) {
-    if (now - met->second->second <= traits_.warm_for) {
-      work -= job.work * traits_.warm_gain;
+    if (now - met->second->second <= traits_.warm_key_ttl) {
+      work -= job.work * traits_.warm_key_saving;
     }
     warm_.erase(met->second);
     warm_at_.erase(met);
@@ -201,30 +201,30 @@
 }
 
 void HostModel::note_crowd(Time now) {
-  if (!traits_.crowds) {
+  if (!traits_.crowding) {
     return;
   }
   const auto held = static_cast<double>(jobs_.size());
   if (!slow_) {
-    if (held <= traits_.crowd_holds) {
+    if (held <= traits_.crowding_threshold) {
       crowded_since_ = kNever;
     } else if (crowded_since_ == kNever) {
       crowded_since_ = now;
     }
-    if (crowded_since_ == kNever || now - crowded_since_ < traits_.crowd_for) {
+    if (crowded_since_ == kNever || now - crowded_since_ < traits_.crowding_delay) {
       return;
     }
     slow_ = true;
     slow_since_ = now;
     crowded_since_ = resting_since_ = kNever;
   }
-  if (held >= traits_.crowd_below + 1) {
+  if (held >= traits_.recovery_threshold + 1) {
     resting_since_ = kNever;
   } else if (resting_since_ == kNever) {
     resting_since_ = now;
   }
-  const bool rested = resting_since_ != kNever && now - resting_since_ >= traits_.crowd_rest;
-  if (rested || now - slow_since_ >= traits_.crowd_most) {
+  const bool rested = resting_since_ != kNever && now - resting_since_ >= traits_.recovery_time;
+  if (rested || now - slow_since_ >= traits_.max_slow_time) {
     slow_ = false, crowded_since_ = resting_since_ = kNever;
   }
 }
@@ -238,12 +238,13 @@
   }
   pushes_.push_back({now, work, job.sender_knows_start});
   pushed_ += work;
-  while (pushes_.front().at <= now - traits_.fall_window) {
+  while (pushes_.front().at <= now - traits_.collapse_window) {
     pushed_ -= pushes_.front().work;
     pushes_.pop_front();
   }
   const double borne =
-      traits_.fall_multiple * capacity(now) * to_seconds(traits_.fall_window) + traits_.fall_slack;
+      traits_.collapse_load_factor * capacity(now) * to_seconds(traits_.collapse_window) +
+      traits_.collapse_slack;
   if (pushed_ <= borne) {
     return true;
   }
@@ -251,20 +252,20 @@
   for (const Push& p : pushes_) {
     known += p.known ? p.work : 0;
   }
-  fallen_ = Collapse{pushed_, borne, known / pushed_};
+  collapse_ = Collapse{pushed_, borne, known / pushed_};
   return false;
 }
 
-Admission HostModel::arrive(Time now, const Job& job, std::vector<Ended>& ended) {
+Admission HostModel::submit(Time now, const Job& job, std::vector<FinishedJob>& ended) {
   advance(now, ended);
-  if (!running_ || fallen_) {
-    return Admission::full;
+  if (!running_ || collapse_) {
+    return Admission::rejected;
   }
   if (!push(now, job, job.work + (job.handshake ? traits_.handshake_work : 0))) {
-    return Admission::full;
+    return Admission::rejected;
   }
   if (working_.size() >= traits_.slots && waiting_count_ >= traits_.queue) {
-    return Admission::full;
+    return Admission::rejected;
   }
   jobs_.emplace(job.id, Held{job, 0, 0, false, now});
   waiting_.push_back(job.id);
@@ -272,10 +273,10 @@
   fill(now, ended);
   note_crowd(now);
   renew_next(now);
-  return Admission::taken;
+  return Admission::accepted;
 }
 
-void HostModel::cancel(Time now, JobId id, std::vector<Ended>& ended) {
+void HostModel::cancel(Time now, JobId id, std::vector<FinishedJob>& ended) {
   advance(now, ended);
   const auto it = jobs_.find(id);
   if (it == jobs_.end()) {
@@ -292,7 +293,8 @@
   renew_next(now);
 }
 
-void HostModel::set_condition(Time now, const Condition& condition, std::vector<Ended>& ended) {
+void HostModel::set_condition(Time now, const Condition& condition,
+                              std::vector<FinishedJob>& ended) {
   advance(now, ended);
   condition_ = condition;
   renew_next(now);
@@ -314,7 +316,7 @@
   running_ = true;
   started_ = now;
   started_cold_ = true;
-  fallen_.reset();
+  collapse_.reset();
   given_ = 0;
   slow_ = false;
   crowded_since_ = resting_since_ = kNever;
@@ -341,7 +343,7 @@
   }
 }
 
-std::optional<LoadReport> HostModel::report(Time now) const {
+std::optional<LoadReport> HostModel::load_report(Time now) const {
   // clang-tidy 14 cannot parse std::views::reverse of libstdc++ 12.
   // NOLINTNEXTLINE(modernize-loop-convert): see above
   for (auto newest = samples_.rbegin(); newest != samples_.rend(); ++newest) {
--- a/src/lab/model/host_model.hpp
+++ b/src/lab/model/host_model.hpp
@@ -32,29 +32,29 @@
   double thrash = 0, thrash_at = 6;
   double cold_share = 1, error_rate = 0;
   Duration cold_time{};
-  bool crowds = false;
-  double crowd_holds = 1e9, crowd_slower = 1,
-         crowd_below = 0;  // requests held; times; requests held
-  Duration crowd_for{}, crowd_rest{}, crowd_most{};
-  double warm_gain = 0;
-  Duration warm_for{};
+  bool crowding = false;
+  double crowding_threshold = 1e9, crowding_slowdown = 1,
+         recovery_threshold = 0;  // requests held; times; requests held
+  Duration crowding_delay{}, recovery_time{}, max_slow_time{};
+  double warm_key_saving = 0;
+  Duration warm_key_ttl{};
   std::size_t warm_keys = 0;
   std::size_t connections = 1000;
-  double full_tax = 0, handshake_work = 0;   // share of the capacity; seconds of work
-  double fall_multiple = 3, fall_slack = 0;  // slack in seconds of work
-  Duration fall_window{};
+  double full_tax = 0, handshake_work = 0;              // share of the capacity; seconds of work
+  double collapse_load_factor = 3, collapse_slack = 0;  // slack in seconds of work
+  Duration collapse_window{};
   Duration report_period{}, report_delay{};
   double report_noise = 0;
   std::uint64_t report_seed = 0;
 };
 HostTraits draw_traits(const Scenario& scenario, const KindSpec& kind, Random& random);
 
-struct Condition {         // what troubles make of a host at present
-  double slower = 1;       // times
-  double taken = 0;        // share of the machine that a neighbour has
-  double error_share = 0;  // of its requests that fail at once
-  double reset_share = 0, spoilt_share = 0;
-  Duration trickle{};  // by which its answers come late, piece by piece
+struct Condition {          // what troubles make of a host at present
+  double slowdown = 1;      // times
+  double stolen_share = 0;  // share of the machine that a neighbour has
+  double error_share = 0;   // of its requests that fail at once
+  double reset_share = 0, malformed_share = 0;
+  Duration response_delay{};  // by which its answers come late, piece by piece
 };
 
 struct Job {
@@ -66,24 +66,24 @@
   bool sender_knows_start = false;  // it had been told of this host's latest start
 };
 
-enum class Admission { taken, full };
+enum class Admission { accepted, rejected };
 
-struct Ended {
+struct FinishedJob {
   JobId id = 0;
-  enum class How {
+  enum class Outcome {
     done,
     expired
-  } how = How::done;  // expired: turned away from the waiting room, never ran
-  double work = 0;    // seconds of work that it cost
+  } outcome = Outcome::done;  // expired: turned away from the waiting room, never ran
+  double work = 0;            // seconds of work that it cost
 };
 
 struct LoadReport {
   double latency_ms = 0, util = 0;
 };
 
-struct Collapse {                // a cold host that was pushed over
-  double pushed = 0, borne = 0;  // seconds of work within the window
-  double known_share = 0;        // of the push, from gateways that had been told of the start
+struct Collapse {                        // a cold host that was pushed over
+  double work_sent = 0, work_limit = 0;  // seconds of work within the window
+  double informed_share = 0;  // of the push, from gateways that had been told of the start
 };
 
 class HostModel {
@@ -92,13 +92,13 @@
   HostModel(const HostModel&) = delete;  // its keys are held by place
   HostModel& operator=(const HostModel&) = delete;
 
-  void advance(Time now, std::vector<Ended>& ended);  // appends what ended by then
-  Time next_event() const;                            // advance is wanted by then; kNever: not
+  void advance(Time now, std::vector<FinishedJob>& ended);  // appends what ended by then
+  Time next_event() const;  // advance is wanted by then; kNever: not
 
   // All of these advance first; what ended meanwhile is appended.
-  Admission arrive(Time now, const Job& job, std::vector<Ended>& ended);
-  void cancel(Time now, JobId job, std::vector<Ended>& ended);  // an unknown one is ignored
-  void set_condition(Time now, const Condition& condition, std::vector<Ended>& ended);
+  Admission submit(Time now, const Job& job, std::vector<FinishedJob>& ended);
+  void cancel(Time now, JobId job, std::vector<FinishedJob>& ended);  // an unknown one is ignored
+  void set_condition(Time now, const Condition& condition, std::vector<FinishedJob>& ended);
   // A new process, cold, with nothing of the old one.
   void restart(Time now);
   // The process ends: all that it holds is gone.
@@ -109,15 +109,15 @@
   void close_all_connections() { connections_ = 0; }
 
   // Set once a cold host falls over; it stays down till its restart.
-  const std::optional<Collapse>& fallen() const { return fallen_; }
+  const std::optional<Collapse>& collapse() const { return collapse_; }
   bool running() const { return running_; }
-  std::size_t holds() const { return jobs_.size(); }
+  std::size_t active_jobs() const { return jobs_.size(); }
   double warmth(Time now) const;    // share of the capacity that a cold one has
   double capacity(Time now) const;  // work a second, all cores busy, at present
-  std::optional<LoadReport> report(Time now) const;
+  std::optional<LoadReport> load_report(Time now) const;
   const Condition& condition() const { return condition_; }
   const HostTraits& traits() const { return traits_; }
-  bool crowded() const { return slow_; }
+  bool is_slowed() const { return slow_; }
   double work_done() const { return work_done_; }  // seconds of work, of all jobs, ended or not
 
  private:
@@ -138,7 +138,7 @@
   };
 
   double speed_each(Time now) const;  // work a second that each job in work is given
-  void fill(Time now, std::vector<Ended>& ended);
+  void fill(Time now, std::vector<FinishedJob>& ended);
   void note_crowd(Time now);
   bool push(Time now, const Job& job, double work);
   double cost_of(Time now, const Job& job);
@@ -149,7 +149,7 @@
   bool running_ = true;
   Time started_{}, at_{};
   bool started_cold_ = false;
-  std::optional<Collapse> fallen_;
+  std::optional<Collapse> collapse_;
 
   std::unordered_map<JobId, Held> jobs_;  // looked up only: its order shows nowhere
   std::set<std::pair<double, JobId>> working_;
--- a/src/lab/model/traffic.cpp
+++ b/src/lab/model/traffic.cpp
@@ -44,7 +44,7 @@
   }
 }
 
-bool Traffic::next(FirstTry& into) {
+bool Traffic::next(Arrival& into) {
   const double swing = scenario_.clients.swing;
   const double most = rate_ * (1 + swing);
   if (most <= 0) {
--- a/src/lab/model/traffic.hpp
+++ b/src/lab/model/traffic.hpp
@@ -9,7 +9,7 @@
 
 namespace gateway::lab {
 
-struct FirstTry {
+struct Arrival {
   Time at{};  // when it is due
   std::uint32_t zone = 0, cls = 0;
   std::uint64_t key = 0;
@@ -20,7 +20,7 @@
  public:
   // `rate`: first tries a second in the mean.
   Traffic(const Scenario& scenario, std::uint64_t seed, double rate, Time start);
-  bool next(FirstTry& into);  // false: the day is over
+  bool next(Arrival& into);  // false: the day is over
 
  private:
   const Scenario& scenario_;
--- a/src/lab/scenario/fields.hpp
+++ b/src/lab/scenario/fields.hpp
@@ -37,7 +37,7 @@
 };
 
 // Text of a number without needless digits.
-std::string plain(double value);
+std::string format_number(double value);
 
 namespace detail {
 bool read_number(const nlohmann::json& value, double least, double most, const char* unit,
@@ -131,7 +131,7 @@
 
 // One row of the reference: section, field, unit, bounds, default, meaning; set apart by tabs.
 struct FieldRow {
-  std::string section, name, unit, bounds, standard, about;
+  std::string section, name, unit, bounds, default_value, about;
 };
 
 template <class T>
@@ -139,21 +139,22 @@
                      std::vector<FieldRow>& rows) {
   static const T kStandard{};
   for (const Field<T>& f : table) {
-    FieldRow row{section, f.name, f.unit, plain(f.least) + " to " + plain(f.most), "", f.about};
+    FieldRow row{section, f.name, f.unit, format_number(f.least) + " to " + format_number(f.most),
+                 "",      f.about};
     std::visit(
         [&](auto member) {
           const auto& value = kStandard.*member;
           using Value = std::decay_t<decltype(value)>;
           if constexpr (std::is_same_v<Value, std::string>) {
-            row.bounds = "text", row.standard = value;
+            row.bounds = "text", row.default_value = value;
           } else if constexpr (std::is_same_v<Value, bool>) {
-            row.bounds = "true or false", row.standard = value ? "true" : "false";
+            row.bounds = "true or false", row.default_value = value ? "true" : "false";
           } else if constexpr (std::is_same_v<Value, Range>) {
-            row.standard = value.low == value.high
-                               ? plain(value.low)
-                               : "[" + plain(value.low) + ", " + plain(value.high) + "]";
+            row.default_value = value.low == value.high ? format_number(value.low)
+                                                        : "[" + format_number(value.low) + ", " +
+                                                              format_number(value.high) + "]";
           } else {
-            row.standard = plain(static_cast<double>(value));
+            row.default_value = format_number(static_cast<double>(value));
           }
         },
         f.member);
--- a/src/lab/scenario/scenario.cpp
+++ b/src/lab/scenario/scenario.cpp
@@ -33,7 +33,7 @@
 using Gates = GatewaysSpec;
 const std::vector<Field<Gates>> kGateways{
     {"count", "", 1, 1000, "gateways, dealt over the zones", &Gates::count},
-    {"notice_s", "s", 0, 60, "until the front notices a dead gateway", &Gates::notice_s},
+    {"notice_s", "s", 0, 60, "until the front notices a dead gateway", &Gates::failure_detection_s},
     {"heavy", "", 0, 1000, "so many, the first, are given more of the traffic", &Gates::heavy},
     {"heavy_times", "times", 0.01, 1000, "what one of the others gets", &Gates::heavy_times}};
 
@@ -114,19 +114,22 @@
     {"share", "share", 0, 1e6, "of the requests, against the other classes", &Class::share},
     {"work_ms", "ms", 0.001, 1e6, "mean work on a core of speed 1", &Class::work_ms},
     {"variation", "", 0, 10, "coefficient of variation of the work", &Class::variation},
-    {"aim_ms", "ms", 1, 1e6, "full worth up to here", &Class::aim_ms},
-    {"give_up_ms", "ms", 1, 1e6, "the client's total wait", &Class::give_up_ms},
-    {"worth", "points", 0, 1e6, "for each unit of work", &Class::worth},
-    {"late_share", "share", 0, 1, "of the worth after the aim", &Class::late_share},
-    {"effect", "", 0, 0, R"("retryable", "dedup" or "fragile")", &Class::effect},
+    {"aim_ms", "ms", 1, 1e6, "full worth up to here", &Class::latency_objective_ms},
+    {"give_up_ms", "ms", 1, 1e6, "the client's total wait", &Class::client_timeout_ms},
+    {"worth", "points", 0, 1e6, "for each unit of work", &Class::priority_weight},
+    {"late_share", "share", 0, 1, "of the worth after the aim", &Class::late_value_fraction},
+    {"effect", "", 0, 0, R"("retryable", "dedup" or "fragile")", &Class::idempotency},
     {"group", "", 0, 0, R"(dedup: hosts that drop repeats together: "all", "zone" or "cell")",
-     &Class::group},
-    {"window_ms", "ms", 0, 1e6, "dedup: how long repeats are dropped", &Class::window_ms}};
+     &Class::deduplication_scope},
+    {"window_ms", "ms", 0, 1e6, "dedup: how long repeats are dropped",
+     &Class::deduplication_window_ms}};
 
 using Disc = DiscoverySpec;
 const std::vector<Field<Disc>> kDiscovery{
-    {"notice_s", "s", 0, 60, "until the list knows that a host is gone or drains", &Disc::notice_s},
-    {"add_s", "s", 0, 60, "until the list knows a new host or a new start", &Disc::add_s},
+    {"notice_s", "s", 0, 60, "until the list knows that a host is gone or drains",
+     &Disc::removal_delay_s},
+    {"add_s", "s", 0, 60, "until the list knows a new host or a new start",
+     &Disc::addition_delay_s},
     {"spread_ms", "ms", 0, 60000, "from the list to a gateway that watches", &Disc::spread_ms},
     {"call_ms", "ms", 0, 10000, "discovery's work for one call", &Disc::call_ms},
     {"line_us", "us", 0, 1e6, "discovery's work for one line of an answer", &Disc::line_us},
@@ -135,15 +138,16 @@
 using Rules = RulesSpec;
 const std::vector<Field<Rules>> kRules{
     {"answer_slack_ms", "ms", 0, 10000,
-     "after the client's time in which an answer still counts as given", &Rules::answer_slack_ms},
+     "after the client's time in which an answer still counts as given", &Rules::response_slack_ms},
     {"drain_grace_ms", "ms", 0, 60000, "after which nothing new goes to a drained host",
      &Rules::drain_grace_ms},
-    {"fall_multiple", "times", 1, 100, "of its capacity fells a cold host", &Rules::fall_multiple},
-    {"fall_ms", "ms", 10, 60000, "window over which that is counted", &Rules::fall_ms},
+    {"fall_multiple", "times", 1, 100, "of its capacity fells a cold host",
+     &Rules::collapse_load_factor},
+    {"fall_ms", "ms", 10, 60000, "window over which that is counted", &Rules::collapse_window_ms},
     {"fall_slack_ms", "ms", 0, 60000, "of work that the window bears beyond it",
-     &Rules::fall_slack_ms},
+     &Rules::collapse_slack_ms},
     {"held_back_ms", "ms", 1, 60000, "with nothing under way, before a refusal counts as held back",
-     &Rules::held_back_ms}};
+     &Rules::max_rejection_delay_ms}};
 
 using Limits = LimitsSpec;
 const std::vector<Field<Limits>> kLimits{
@@ -241,7 +245,7 @@
     if (!names.insert(c.name).second) {
       mistakes.push_back({"classes", "two classes are named '" + c.name + "'"});
     }
-    if (c.give_up_ms < c.aim_ms) {
+    if (c.client_timeout_ms < c.latency_objective_ms) {
       mistakes.push_back({"classes." + c.name + ".give_up_ms", "should not be below aim_ms"});
     }
   }
@@ -267,7 +271,7 @@
 
 }  // namespace
 
-std::string plain(double value) {
+std::string format_number(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.12g", value);
   return text;
@@ -277,12 +281,14 @@
                          double& into, std::string& mistake) {
   const std::string named = *unit ? std::string(" (") + unit + ")" : "";
   if (!value.is_number()) {
-    mistake = "should be a number" + named + " from " + plain(least) + " to " + plain(most);
+    mistake = "should be a number" + named + " from " + format_number(least) + " to " +
+              format_number(most);
     return false;
   }
   const double d = value.get<double>();
   if (!(d >= least && d <= most)) {
-    mistake = "is " + plain(d) + "; it should be " + plain(least) + " to " + plain(most) + named;
+    mistake = "is " + format_number(d) + "; it should be " + format_number(least) + " to " +
+              format_number(most) + named;
     return false;
   }
   into = d;
@@ -322,12 +328,15 @@
   part(object, "clients", kClients, "", s.clients, m);
   list(object, "classes", kClass, "", false, s.classes, m,
        [&](ClassSpec& c, const std::string& at) {
-         if (c.effect != "retryable" && c.effect != "dedup" && c.effect != "fragile") {
-           m.push_back(
-               {at + ".effect", "is '" + c.effect + "'; it should be retryable, dedup or fragile"});
+         if (c.idempotency != "retryable" && c.idempotency != "dedup" &&
+             c.idempotency != "fragile") {
+           m.push_back({at + ".effect",
+                        "is '" + c.idempotency + "'; it should be retryable, dedup or fragile"});
          }
-         if (c.group != "all" && c.group != "zone" && c.group != "cell") {
-           m.push_back({at + ".group", "is '" + c.group + "'; it should be all, zone or cell"});
+         if (c.deduplication_scope != "all" && c.deduplication_scope != "zone" &&
+             c.deduplication_scope != "cell") {
+           m.push_back({at + ".group",
+                        "is '" + c.deduplication_scope + "'; it should be all, zone or cell"});
          }
        });
   part(object, "discovery", kDiscovery, "", s.discovery, m);
@@ -390,8 +399,8 @@
   return rows;
 }
 
-load_balancer::Settings module_settings(const Scenario& s, unsigned number, const std::string& zone,
-                                        std::uint64_t seed) {
+load_balancer::Settings balancer_settings(const Scenario& s, unsigned number,
+                                          const std::string& zone, std::uint64_t seed) {
   load_balancer::Settings m;
   m.seed = seed;
   m.gateway_count = s.gateways.count;
@@ -412,22 +421,23 @@
     m.initial_warmup_fraction = std::min(m.initial_warmup_fraction, k.cold_share.low);
     m.warmup_duration = std::max(m.warmup_duration, from_seconds(k.cold_s.high));
   }
-  m.collapse_load_factor = s.rules.fall_multiple;
-  m.collapse_window = from_millis(s.rules.fall_ms);
+  m.collapse_load_factor = s.rules.collapse_load_factor;
+  m.collapse_window = from_millis(s.rules.collapse_window_ms);
   for (const ClassSpec& c : s.classes) {
     load_balancer::ClassSettings out;
     out.name = c.name;
-    out.latency_objective = from_millis(c.aim_ms);
-    out.client_timeout = from_millis(c.give_up_ms);
-    out.deduplication_window = from_millis(c.window_ms);
-    out.idempotency = c.effect == "retryable" ? load_balancer::Idempotency::idempotent
-                      : c.effect == "dedup"   ? load_balancer::Idempotency::deduplicated
-                                              : load_balancer::Idempotency::non_idempotent;
-    out.deduplication_scope = c.group == "zone"   ? load_balancer::DeduplicationScope::zone
-                              : c.group == "cell" ? load_balancer::DeduplicationScope::cell
-                                                  : load_balancer::DeduplicationScope::global;
-    out.priority_weight = c.worth;
-    out.late_value_fraction = c.late_share;
+    out.latency_objective = from_millis(c.latency_objective_ms);
+    out.client_timeout = from_millis(c.client_timeout_ms);
+    out.deduplication_window = from_millis(c.deduplication_window_ms);
+    out.idempotency = c.idempotency == "retryable" ? load_balancer::Idempotency::idempotent
+                      : c.idempotency == "dedup"   ? load_balancer::Idempotency::deduplicated
+                                                   : load_balancer::Idempotency::non_idempotent;
+    out.deduplication_scope =
+        c.deduplication_scope == "zone"   ? load_balancer::DeduplicationScope::zone
+        : c.deduplication_scope == "cell" ? load_balancer::DeduplicationScope::cell
+                                          : load_balancer::DeduplicationScope::global;
+    out.priority_weight = c.priority_weight;
+    out.late_value_fraction = c.late_value_fraction;
     m.classes.push_back(out);
   }
   return m;
--- a/src/lab/scenario/scenario.hpp
+++ b/src/lab/scenario/scenario.hpp
@@ -76,8 +76,8 @@
 
 struct GatewaysSpec {
   unsigned count = 4;
-  Range notice_s{0.94, 4};  // the front goes on sending to a dead one
-  unsigned heavy = 0;       // the first so many are given `heavyTimes` the traffic of the others
+  Range failure_detection_s{0.94, 4};  // the front goes on sending to a dead one
+  unsigned heavy = 0;  // the first so many are given `heavyTimes` the traffic of the others
   double heavy_times = 20;
 };
 
@@ -99,23 +99,25 @@
   double share = 1;
   Range work_ms{100};
   Range variation{0.3};  // coefficient of variation of the work
-  double aim_ms = 600, give_up_ms = 2500, worth = 1, late_share = 0.25;
-  std::string effect = "retryable";  // dedup, fragile
-  std::string group = "all";         // zone, cell
-  double window_ms = 5000;
+  double latency_objective_ms = 600, client_timeout_ms = 2500, priority_weight = 1,
+         late_value_fraction = 0.25;
+  std::string idempotency = "retryable";    // dedup, fragile
+  std::string deduplication_scope = "all";  // zone, cell
+  double deduplication_window_ms = 5000;
 };
 
 struct DiscoverySpec {
-  Range notice_s{0.5, 4.9}, add_s{1, 2.1};  // until the list knows of a way out; of a start
-  Range spread_ms{31, 110};                 // from the list to a gateway that watches
-  double call_ms = 4, line_us = 100;        // its work for one call; for one line
-  double timeout_ms = 2000;                 // a call that waits longer fails
+  Range removal_delay_s{0.5, 4.9},
+      addition_delay_s{1, 2.1};       // until the list knows of a way out; of a start
+  Range spread_ms{31, 110};           // from the list to a gateway that watches
+  double call_ms = 4, line_us = 100;  // its work for one call; for one line
+  double timeout_ms = 2000;           // a call that waits longer fails
 };
 
 struct RulesSpec {
-  double answer_slack_ms = 50, drain_grace_ms = 550, fall_multiple = 3, fall_ms = 1000,
-         fall_slack_ms = 300;
-  double held_back_ms = 100;  // a refusal with nothing under way for longer was held back
+  double response_slack_ms = 50, drain_grace_ms = 550, collapse_load_factor = 3,
+         collapse_window_ms = 1000, collapse_slack_ms = 300;
+  double max_rejection_delay_ms = 100;  // a refusal with nothing under way for longer was held back
 };
 
 struct LimitsSpec {  // what the gateways are allowed
@@ -181,7 +183,7 @@
 std::vector<FieldRow> describe_scenario();
 
 // The module's settings for gateway `number`, as the platform would tell them.
-load_balancer::Settings module_settings(const Scenario& scenario, unsigned number,
-                                        const std::string& zone, std::uint64_t seed);
+load_balancer::Settings balancer_settings(const Scenario& scenario, unsigned number,
+                                          const std::string& zone, std::uint64_t seed);
 
 }  // namespace gateway::lab
--- a/src/lab/simulation/experiment.cpp
+++ b/src/lab/simulation/experiment.cpp
@@ -14,9 +14,9 @@
 
 namespace gateway::lab {
 
-std::vector<DayResult> play_days(const Scenario& scenario, std::uint64_t first, unsigned seeds,
-                                 unsigned jobs, const PolicyMaker& policy,
-                                 const Progress& progress) {
+std::vector<DayResult> simulate_runs(const Scenario& scenario, std::uint64_t first, unsigned seeds,
+                                     unsigned jobs, const PolicyMaker& policy,
+                                     const Progress& progress) {
   std::vector<std::optional<DayResult>> days(seeds);
   std::vector<std::atomic<unsigned>> shares(seeds);
   std::atomic<unsigned> next{0};
@@ -25,7 +25,7 @@
   const auto work = [&] {
     for (unsigned i = next++; i < seeds; i = next++) {
       try {
-        days[i] = play_day(scenario, first + i, policy, &shares[i]);
+        days[i] = simulate_run(scenario, first + i, policy, &shares[i]);
         shares[i] = 1000;
       } catch (...) {
         failures[i] = std::current_exception();
--- a/src/lab/simulation/experiment.hpp
+++ b/src/lab/simulation/experiment.hpp
@@ -18,16 +18,16 @@
 // One day for each of `seeds` seeds from `first` on, `jobs` at a time. Results stand in order of
 // seed and do not depend on `jobs`. An exception of one day (a policy that throws) ends the whole
 // and is thrown here.
-std::vector<DayResult> play_days(const Scenario& scenario, std::uint64_t first, unsigned seeds,
-                                 unsigned jobs, const PolicyMaker& policy,
-                                 const Progress& progress = {});
+std::vector<DayResult> simulate_runs(const Scenario& scenario, std::uint64_t first, unsigned seeds,
+                                     unsigned jobs, const PolicyMaker& policy,
+                                     const Progress& progress = {});
 
 struct Difference {
   std::string figure;
   double mean_a = 0, mean_b = 0;
   double mean = 0, low = 0, high = 0;  // B less A, paired by seed; 95 % bootstrap interval
   std::size_t pairs = 0;
-  bool noise() const { return low <= 0 && high >= 0; }
+  bool is_noise() const { return low <= 0 && high >= 0; }
 };
 
 // Mean of paired differences with a percentile bootstrap of 10,000 resamples, seeded: same input,
--- a/src/lab/simulation/fleet_simulation.cpp
+++ b/src/lab/simulation/fleet_simulation.cpp
@@ -101,8 +101,8 @@
 struct Request {  // one try of a client
   std::uint32_t generation = 0, wish = 0, gateway = 0, epoch = 0;
   bool live = false, at_gateway = false, ended = false, client_done = false;
-  TryEnd end = TryEnd::unanswered;
-  FirstTry what;  // kept here too: attempts may be out when the client's wish is long over
+  RequestOutcome end = RequestOutcome::unanswered;
+  Arrival what;  // kept here too: attempts may be out when the client's wish is long over
   Duration retry_after{};
   Time deadline{};
   std::uint32_t count = 0, out = 0;
@@ -126,12 +126,12 @@
   bool alive = false, watching = false;
   bool seen_alive = true;  // by the front
   std::uint64_t revision = 0;
-  std::map<std::uint32_t, Listed> known;
+  std::map<std::uint32_t, ListedHost> known;
   Time wake_at = kNever;
 };
 
 struct Host {
-  Host(const HostPlace& place, std::uint32_t number, std::uint64_t seed, Time now, bool cold)
+  Host(const HostPlacement& place, std::uint32_t number, std::uint64_t seed, Time now, bool cold)
       : model(place.traits, now, cold),
         address(1, 'h'),
         zone(place.zone),
@@ -167,13 +167,13 @@
       : s_(scenario),
         seed_(seed),
         make_policy_(policy),
-        layout_(draw_layout(scenario, seed)),
+        layout_(draw_topology(scenario, seed)),
         plan_(schedule_faults(scenario, layout_, seed)),
         tally_(scenario),
         referee_(scenario.rules, scenario.classes),
         discovery_(scenario.discovery, seed),
         begin_(kMorning + kSettleIn),
-        traffic_(scenario, seed, layout_.rate, begin_),
+        traffic_(scenario, seed, layout_.request_rate, begin_),
         clients_(scenario, seed, begin_, tally_),
         network_(seed, "packets"),
         front_(seed, "front") {}
@@ -199,8 +199,8 @@
   std::uint32_t choose_gateway(std::uint32_t zone);
   void renew_front();
   void arrive_at_gateway(std::uint32_t slot);
-  void tell_client(std::uint32_t slot, TryEnd end, Duration retry_after);
-  void client_ends(std::uint32_t slot, TryEnd end);
+  void tell_client(std::uint32_t slot, RequestOutcome end, Duration retry_after);
+  void client_ends(std::uint32_t slot, RequestOutcome end);
   void drop_if_over(std::uint32_t slot);
 
   // Gateways.
@@ -215,24 +215,24 @@
   void execute(std::uint32_t, const load_balancer::ForgetHost&) {}  // addresses are used here
   void execute(std::uint32_t, const load_balancer::LogMessage&) {}
   Request* find_request(load_balancer::RequestId id);
-  void end_request(std::uint32_t gateway, load_balancer::RequestId id, Answer answer, TryEnd end,
-                   Duration retry_after);
+  void end_request(std::uint32_t gateway, load_balancer::RequestId id, Answer answer,
+                   RequestOutcome end, Duration retry_after);
   void send(std::uint32_t gateway, const load_balancer::SendAttempt& action);
   void settle(std::uint32_t slot, AttemptOutcome outcome);
   void start_gateway(std::uint32_t gateway);
   void stop_gateway(std::uint32_t gateway);
   void deliver_list(std::uint32_t gateway, bool answer);
-  load_balancer::Endpoint entry_of(const Listed& listed) const;
+  load_balancer::Endpoint entry_of(const ListedHost& listed) const;
 
   // Hosts.
   void arrive_at_host(std::uint32_t slot);
   void after_host(std::uint32_t host);
-  void add_host(const HostPlace& place, bool cold);
+  void add_host(const HostPlacement& place, bool cold);
   void stop_host(std::uint32_t host);
   void start_host(std::uint32_t host);
   void close_lines(std::uint32_t host);
   void renew_condition(std::uint32_t host);
-  void carry_out(const Step& step);
+  void carry_out(const FaultStep& step);
   void move_list();
 
   void tidy();
@@ -245,7 +245,7 @@
   std::uint64_t seed_;
   const PolicyMaker& make_policy_;
   FleetTopology layout_;
-  Plan plan_;
+  FaultSchedule plan_;
   RunMetrics tally_;
   InvariantChecker referee_;
   DiscoveryModel discovery_;
@@ -260,9 +260,9 @@
   std::deque<Host> hosts_;
   Slab<Request> requests_;
   Slab<Attempt> attempts_;
-  std::vector<Ended> ended_;
+  std::vector<FinishedJob> ended_;
   std::vector<load_balancer::Action> batch_;
-  FirstTry coming_;
+  Arrival coming_;
   bool traffic_over_ = false;
   std::uint64_t events_ = 0;
   std::size_t attempts_out_ = 0;
@@ -275,7 +275,7 @@
 
 void Fleet::set_up() {
   const bool cold = s_.hosts.start == "cold";
-  for (const HostPlace& place : layout_.hosts) {
+  for (const HostPlacement& place : layout_.hosts) {
     add_host(place, cold);
   }
   for (std::uint32_t g = 0; g < layout_.gateway_zones.size(); ++g) {
@@ -300,11 +300,11 @@
   set_up();
   const Time end = begin_ + from_seconds(s_.length_s);
   while (agenda_.next_at() < end + kAfterwards) {
-    if (traffic_over_ && clients_.open() == 0 && attempts_out_ == 0 && now_ >= end) {
+    if (traffic_over_ && clients_.open_operations() == 0 && attempts_out_ == 0 && now_ >= end) {
       break;
     }
     now_ = agenda_.next_at();
-    handle(agenda_.take());
+    handle(agenda_.pop());
     if (++events_ % 4096 == 0 && progress) {
       *progress = static_cast<unsigned>(
           std::clamp(1000 * to_seconds(now_ - begin_) / s_.length_s, 0.0, 1000.0));
@@ -314,7 +314,7 @@
     tally_.work_done += h.model.work_done();
   }
   tally_.list_lines = discovery_.lines();
-  tally_.troubles = plan_.times;
+  tally_.troubles = plan_.intervals;
   DayResult result{
       s_.name, seed_, tally_, referee_.counts(), referee_.first(), to_seconds(now_ - kMorning),
       events_};
@@ -328,7 +328,7 @@
 void Fleet::handle(const Event& e) {
   switch (e.what) {
     case What::first_try: {
-      const std::uint32_t wish = clients_.wish(coming_);
+      const std::uint32_t wish = clients_.begin_operation(coming_);
       next_first_try();
       return start_try(wish);
     }
@@ -341,7 +341,7 @@
       return;
     case What::unreachable:
       if (requests_.find(e.a, e.b)) {
-        client_ends(e.a, TryEnd::unreachable);
+        client_ends(e.a, RequestOutcome::unreachable);
       }
       return;
     case What::at_host:
@@ -386,12 +386,12 @@
         referee_.client_gave_up(now_, key_of(e.a));
         r->ended = true;
         const std::uint32_t g = r->gateway;
-        client_ends(e.a, TryEnd::unanswered);
+        client_ends(e.a, RequestOutcome::unanswered);
         gateways_[g].policy->on_client_disconnected(now_,
                                                     (static_cast<std::uint64_t>(e.b) << 32) | e.a);
         return carry_out(g);
       }
-      return client_ends(e.a, TryEnd::unanswered);
+      return client_ends(e.a, RequestOutcome::unanswered);
     }
     case What::client_leaves: {
       Request* r = requests_.find(e.a, e.b);
@@ -402,7 +402,7 @@
       const bool there = r->at_gateway;
       referee_.excused(key_of(e.a));
       r->ended = true;
-      client_ends(e.a, TryEnd::unanswered);
+      client_ends(e.a, RequestOutcome::unanswered);
       if (!there) {
         return;
       }
@@ -465,11 +465,11 @@
 std::uint32_t Fleet::choose_gateway(std::uint32_t zone) {
   const std::vector<std::uint32_t>& near = seen_[zone];
   if (!near.empty()) {
-    return choose_at_front(s_.gateways, near, front_);
+    return draw_gateway(s_.gateways, near, front_);
   }
   const std::vector<std::uint32_t>& any = seen_.back();
   if (!any.empty()) {
-    return choose_at_front(s_.gateways, any, front_);
+    return draw_gateway(s_.gateways, any, front_);
   }
   return static_cast<std::uint32_t>(front_.below(gateways_.size()));
 }
@@ -486,18 +486,18 @@
 }
 
 void Fleet::start_try(std::uint32_t wish) {
-  const Clients::TryPlan plan = clients_.begin_try(now_, wish);
+  const Clients::RequestPlan plan = clients_.begin_request(now_, wish);
   const std::uint32_t slot = requests_.take();
   Request& r = requests_[slot];
   r.wish = wish;
-  r.what = clients_.what(wish);
+  r.what = clients_.arrival(wish);
   r.gateway = choose_gateway(r.what.zone);
-  r.deadline = now_ + plan.limit;
+  r.deadline = now_ + plan.timeout;
   add(now_ + to_client(), {What::at_gateway, 0, slot, r.generation});
-  add(r.deadline + from_millis(s_.rules.answer_slack_ms),
+  add(r.deadline + from_millis(s_.rules.response_slack_ms),
       {What::client_gives_up, 0, slot, r.generation});
-  if (plan.leaves) {
-    add(now_ + *plan.leaves, {What::client_leaves, 0, slot, r.generation});
+  if (plan.disconnect_after) {
+    add(now_ + *plan.disconnect_after, {What::client_leaves, 0, slot, r.generation});
   }
 }
 
@@ -512,7 +512,7 @@
   }
   r.at_gateway = true;
   r.epoch = g.epoch;
-  const FirstTry& what = r.what;
+  const Arrival& what = r.what;
   referee_.taken(now_, key_of(slot), what.cls, r.gateway, r.deadline);
   load_balancer::Request q;
   q.id = key_of(slot);
@@ -525,7 +525,7 @@
   carry_out(gateway);
 }
 
-void Fleet::tell_client(std::uint32_t slot, TryEnd end, Duration retry_after) {
+void Fleet::tell_client(std::uint32_t slot, RequestOutcome end, Duration retry_after) {
   Request& r = requests_[slot];
   r.ended = true;
   r.end = end;
@@ -535,16 +535,16 @@
   }
 }
 
-void Fleet::client_ends(std::uint32_t slot, TryEnd end) {
+void Fleet::client_ends(std::uint32_t slot, RequestOutcome end) {
   Request& r = requests_[slot];
   if (r.client_done) {
     return;
   }
   r.client_done = true;
-  if (end == TryEnd::served && now_ > r.deadline) {
-    end = TryEnd::unanswered;  // nobody waits any more
+  if (end == RequestOutcome::served && now_ > r.deadline) {
+    end = RequestOutcome::unanswered;  // nobody waits any more
   }
-  if (const auto wait = clients_.end_try(now_, r.wish, end, r.retry_after)) {
+  if (const auto wait = clients_.end_request(now_, r.wish, end, r.retry_after)) {
     add(now_ + *wait, {What::comes_again, 0, r.wish});
   }
   drop_if_over(slot);
@@ -571,14 +571,14 @@
   g.watching = false;
   g.lines = std::make_unique<ConnectionModel>(from_seconds(s_.hosts.connections.idle_close_s));
   const std::uint64_t start[2] = {number, g.starts++};
-  const load_balancer::Settings settings = module_settings(
+  const load_balancer::Settings settings = balancer_settings(
       s_, number, s_.zones[g.zone].name, XXH3_64bits_withSeed(start, sizeof start, seed_));
   g.policy = make_policy_(settings, now_);
   referee_.gateway_started(number);
   std::vector<load_balancer::Endpoint> list;
   for (const auto& [host, listed] : g.known) {
     list.push_back(entry_of(listed));
-    referee_.told(now_, number, host, listed.phase);
+    referee_.told(now_, number, host, listed.state);
   }
   g.policy->on_endpoint_update(now_, EndpointUpdateKind::restored, list);
   carry_out(number);
@@ -617,7 +617,7 @@
     }
     referee_.excused(key_of(slot));
     if (!r.ended) {
-      tell_client(slot, TryEnd::failed, {});  // a reset
+      tell_client(slot, RequestOutcome::failed, {});  // a reset
     }
     drop_if_over(slot);
   }
@@ -629,14 +629,14 @@
   g.policy.reset();
 }
 
-load_balancer::Endpoint Fleet::entry_of(const Listed& listed) const {
+load_balancer::Endpoint Fleet::entry_of(const ListedHost& listed) const {
   const Host& h = hosts_[listed.host];
   load_balancer::Endpoint e;
   e.address = h.address;
   e.zone = s_.zones[h.zone].name;
   e.machine_type = s_.hosts.kinds[h.kind].name;
   e.cell = h.cell;
-  e.state = listed.phase;
+  e.state = listed.state;
   e.started_at = listed.started;
   return e;
 }
@@ -644,7 +644,7 @@
 void Fleet::deliver_list(std::uint32_t number, bool answer) {
   Gateway& g = gateways_[number];
   bool whole = false;
-  const std::vector<Listed> entries = discovery_.since(g.revision, whole);
+  const std::vector<ListedHost> entries = discovery_.changes_since(g.revision, whole);
   g.revision = discovery_.revision();
   if (entries.empty() && !whole && !answer) {
     return;
@@ -656,10 +656,10 @@
     g.known.clear();
   }
   std::vector<load_balancer::Endpoint> list;
-  for (const Listed& listed : entries) {
+  for (const ListedHost& listed : entries) {
     list.push_back(entry_of(listed));
-    referee_.told(now_, number, listed.host, listed.phase);
-    if (listed.phase == EndpointState::removed) {
+    referee_.told(now_, number, listed.host, listed.state);
+    if (listed.state == EndpointState::removed) {
       g.known.erase(listed.host);
     } else {
       g.known[listed.host] = listed;
@@ -685,7 +685,7 @@
 }
 
 void Fleet::end_request(std::uint32_t number, load_balancer::RequestId id, Answer answer,
-                        TryEnd end, Duration retry_after) {
+                        RequestOutcome end, Duration retry_after) {
   const Request* request = find_request(id);
   if (!request || request->gateway != number) {
     return;
@@ -705,11 +705,11 @@
 }
 
 void Fleet::execute(std::uint32_t number, const load_balancer::RejectRequest& action) {
-  end_request(number, action.request, Answer::refused, TryEnd::refused, action.retry_after);
+  end_request(number, action.request, Answer::refused, RequestOutcome::refused, action.retry_after);
 }
 
 void Fleet::execute(std::uint32_t number, const load_balancer::FailRequest& action) {
-  end_request(number, action.request, Answer::failed, TryEnd::failed, Duration{});
+  end_request(number, action.request, Answer::failed, RequestOutcome::failed, Duration{});
 }
 
 void Fleet::execute(std::uint32_t, const load_balancer::CancelAttempt& action) {
@@ -749,7 +749,7 @@
 void Fleet::execute(std::uint32_t number, const load_balancer::PollEndpoints&) {
   const Gateway& gateway = gateways_[number];
   bool whole = false;
-  const std::size_t lines = discovery_.since(gateway.revision, whole).size();
+  const std::size_t lines = discovery_.changes_since(gateway.revision, whole).size();
   const DiscoveryModel::Call call = discovery_.call(now_, lines);
   add(call.at + from_millis(s_.discovery.spread_ms.draw(network_)),
       {What::list_answers, static_cast<std::uint8_t>(call.ok), number, gateway.epoch});
@@ -806,7 +806,7 @@
   a.fresh = true;
   ++tally_.handshakes;
   const auto failed = static_cast<std::uint8_t>(AttemptOutcome::connect_failed);
-  if (!h.cut && !(h.model.running() && !h.model.fallen())) {
+  if (!h.cut && !(h.model.running() && !h.model.collapse())) {
     return add(now_ + 2 * one, {What::attempt_ends, failed, slot, a.generation});
   }
   if (h.cut || !h.model.open_connection()) {
@@ -858,7 +858,7 @@
   if (outcome == AttemptOutcome::success && !r.ended) {
     referee_.answered(now_, key, Answer::served);
     tally_.work_useful += a.work;
-    tell_client(a.request, TryEnd::served, {});
+    tell_client(a.request, RequestOutcome::served, {});
   }
   result.is_final = r.ended;
   const std::uint32_t gateway = a.gateway;
@@ -875,13 +875,14 @@
 // --- Hosts
 // ------------------------------------------------------------------------------------------------
 
-void Fleet::add_host(const HostPlace& place, bool cold) {
+void Fleet::add_host(const HostPlacement& place, bool cold) {
   const auto number = static_cast<std::uint32_t>(hosts_.size());
   hosts_.emplace_back(place, number, seed_, now_, cold);
   tally_.load.emplace_back(static_cast<std::size_t>(std::max(to_seconds(now_ - begin_), 0.0)),
                            -1.0f);
   if (now_ < begin_) {
-    discovery_.tell_at_once(now_, {number, EndpointState::active, hosts_[number].started_at});
+    discovery_.publish_immediately(now_,
+                                   {number, EndpointState::active, hosts_[number].started_at});
   }
 }
 
@@ -899,7 +900,7 @@
   const auto ends = [&](AttemptOutcome o, Duration after) {
     add(now_ + after, {What::attempt_ends, static_cast<std::uint8_t>(o), slot, a.generation});
   };
-  if (a.boot != h.boot || !h.model.running() || h.model.fallen()) {
+  if (a.boot != h.boot || !h.model.running() || h.model.collapse()) {
     return ends(a.fresh ? AttemptOutcome::connect_failed : AttemptOutcome::reset, back);
   }
   Request& r = requests_[a.request];
@@ -927,15 +928,15 @@
   const auto known = gateways_[a.gateway].known.find(a.host);
   job.sender_knows_start =
       known != gateways_[a.gateway].known.end() && known->second.started == h.started_at;
-  const bool stood = !h.model.fallen();
-  const Admission admission = h.model.arrive(now_, job, ended_);
-  if (stood && h.model.fallen()) {
-    const Collapse& f = *h.model.fallen();
-    referee_.fell(now_, a.host, f.known_share, f.pushed, f.borne);
+  const bool stood = !h.model.collapse();
+  const Admission admission = h.model.submit(now_, job, ended_);
+  if (stood && h.model.collapse()) {
+    const Collapse& f = *h.model.collapse();
+    referee_.fell(now_, a.host, f.informed_share, f.work_sent, f.work_limit);
     return stop_host(a.host);
   }
-  if (admission == Admission::full) {
-    a.load = h.model.report(now_);
+  if (admission == Admission::rejected) {
+    a.load = h.model.load_report(now_);
     ends(AttemptOutcome::rejected_by_host, back);
   } else {
     taken();
@@ -946,28 +947,29 @@
 // What the host has finished goes out, and its next step is entered.
 void Fleet::after_host(std::uint32_t number) {
   Host& h = hosts_[number];
-  for (const Ended& e : ended_) {
+  for (const FinishedJob& e : ended_) {
     const auto slot = static_cast<std::uint32_t>(e.id);
     Attempt* a = attempts_.find(slot, static_cast<std::uint32_t>(e.id >> 32));
     if (!a || a->settled) {
       continue;
     }
     a->work = e.work;
-    AttemptOutcome outcome =
-        e.how == Ended::How::expired ? AttemptOutcome::rejected_by_host : AttemptOutcome::success;
+    AttemptOutcome outcome = e.outcome == FinishedJob::Outcome::expired
+                                 ? AttemptOutcome::rejected_by_host
+                                 : AttemptOutcome::success;
     if (outcome == AttemptOutcome::success && h.luck.chance(h.model.traits().error_rate)) {
       outcome = AttemptOutcome::server_error;
     }
-    if (outcome == AttemptOutcome::success && h.luck.chance(h.model.condition().spoilt_share)) {
+    if (outcome == AttemptOutcome::success && h.luck.chance(h.model.condition().malformed_share)) {
       outcome = AttemptOutcome::reset;
     }
     if (h.cut) {
       continue;  // the answer is lost on the way
     }
     if (outcome != AttemptOutcome::reset) {
-      a->load = h.model.report(now_);
+      a->load = h.model.load_report(now_);
     }
-    add(now_ + to_host(a->gateway, number) + h.model.condition().trickle,
+    add(now_ + to_host(a->gateway, number) + h.model.condition().response_delay,
         {What::attempt_ends, static_cast<std::uint8_t>(outcome), slot, a->generation});
   }
   ended_.clear();
@@ -1010,7 +1012,7 @@
   }
   h.model.stop(now_);
   h.step_at = kNever;
-  discovery_.tell(now_, {number, EndpointState::removed, h.started_at});
+  discovery_.publish(now_, {number, EndpointState::removed, h.started_at});
   move_list();
 }
 
@@ -1019,90 +1021,90 @@
   ++h.boot;
   h.model.restart(now_);
   h.started_at = now_;
-  discovery_.tell(now_, {number, EndpointState::active, now_});
+  discovery_.publish(now_, {number, EndpointState::active, now_});
   move_list();
 }
 
 void Fleet::renew_condition(std::uint32_t number) {
   Condition c;
   for (std::uint32_t t : hosts_[number].troubles) {
-    c = together(c, plan_.conditions[t]);
+    c = combine(c, plan_.conditions[t]);
   }
   hosts_[number].model.set_condition(now_, c, ended_);
   after_host(number);
 }
 
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): too long
-void Fleet::carry_out(const Step& step) {
+void Fleet::carry_out(const FaultStep& step) {
   switch (step.kind) {
-    case StepKind::condition_on:
-    case StepKind::condition_off:
-      for (std::uint32_t h : step.who) {
-        std::erase(hosts_[h].troubles, step.trouble);
-        if (step.kind == StepKind::condition_on) {
-          hosts_[h].troubles.push_back(step.trouble);
+    case FaultStepKind::condition_on:
+    case FaultStepKind::condition_off:
+      for (std::uint32_t h : step.targets) {
+        std::erase(hosts_[h].troubles, step.fault);
+        if (step.kind == FaultStepKind::condition_on) {
+          hosts_[h].troubles.push_back(step.fault);
         }
         renew_condition(h);
       }
       break;
-    case StepKind::host_stop:
-      for (std::uint32_t h : step.who) {
+    case FaultStepKind::host_stop:
+      for (std::uint32_t h : step.targets) {
         stop_host(h);
       }
       break;
-    case StepKind::host_start:
-      for (std::uint32_t h : step.who) {
+    case FaultStepKind::host_start:
+      for (std::uint32_t h : step.targets) {
         start_host(h);
       }
       break;
-    case StepKind::host_new: {
-      const HostPlace place = layout_.hosts[step.who[0]];
+    case FaultStepKind::host_add: {
+      const HostPlacement place = layout_.hosts[step.targets[0]];
       add_host(place, true);
       const auto number = static_cast<std::uint32_t>(hosts_.size() - 1);
-      discovery_.tell(now_, {number, EndpointState::active, now_});
+      discovery_.publish(now_, {number, EndpointState::active, now_});
       move_list();
       break;
     }
-    case StepKind::host_drain:
-      for (std::uint32_t h : step.who) {
-        discovery_.tell(now_, {h, EndpointState::draining, hosts_[h].started_at});
+    case FaultStepKind::host_drain:
+      for (std::uint32_t h : step.targets) {
+        discovery_.publish(now_, {h, EndpointState::draining, hosts_[h].started_at});
       }
       move_list();
       break;
-    case StepKind::host_cut:
-      for (std::uint32_t h : step.who) {
+    case FaultStepKind::host_unreachable:
+      for (std::uint32_t h : step.targets) {
         hosts_[h].cut = true;
       }
       break;
-    case StepKind::host_back:
-      for (std::uint32_t h : step.who) {
+    case FaultStepKind::host_reachable:
+      for (std::uint32_t h : step.targets) {
         hosts_[h].cut = false;
         close_lines(h);
       }
       break;
-    case StepKind::gateway_stop:
-      for (std::uint32_t g : step.who) {
+    case FaultStepKind::gateway_stop:
+      for (std::uint32_t g : step.targets) {
         stop_gateway(g);
-        add(now_ + from_seconds(s_.gateways.notice_s.draw(front_)),
+        add(now_ + from_seconds(s_.gateways.failure_detection_s.draw(front_)),
             {What::front_notices, 0, g, gateways_[g].epoch});
       }
       break;
-    case StepKind::gateway_start:
-      for (std::uint32_t g : step.who) {
+    case FaultStepKind::gateway_start:
+      for (std::uint32_t g : step.targets) {
         if (!gateways_[g].alive) {
           start_gateway(g);
         }
       }
       break;
-    case StepKind::stale_more:
-    case StepKind::stale_less:
-      stale_ += step.kind == StepKind::stale_more ? step.amount : -step.amount;
-      discovery_.set_stale(from_seconds(std::max(stale_, 0.0)));
+    case FaultStepKind::list_delay_increase:
+    case FaultStepKind::list_delay_decrease:
+      stale_ += step.kind == FaultStepKind::list_delay_increase ? step.amount : -step.amount;
+      discovery_.set_extra_delay(from_seconds(std::max(stale_, 0.0)));
       break;
-    case StepKind::discovery_down:
-    case StepKind::discovery_up:
-      discovery_.set_down(step.kind == StepKind::discovery_down);
-      if (step.kind == StepKind::discovery_down) {
+    case FaultStepKind::discovery_down:
+    case FaultStepKind::discovery_up:
+      discovery_.set_down(step.kind == FaultStepKind::discovery_down);
+      if (step.kind == FaultStepKind::discovery_down) {
         for (std::uint32_t g = 0; g < gateways_.size(); ++g) {
           if (gateways_[g].watching) {
             add(now_, {What::list_answers, 0, g, gateways_[g].epoch});
@@ -1155,7 +1157,7 @@
   for (std::uint32_t h = 0; h < hosts_.size(); ++h) {
     const HostModel& m = hosts_[h].model;
     tally_.load[h].push_back(m.running() && !hosts_[h].cut
-                                 ? static_cast<float>(m.holds()) /
+                                 ? static_cast<float>(m.active_jobs()) /
                                        static_cast<float>(m.traits().cores)
                                  : -1.0f);
   }
@@ -1163,8 +1165,8 @@
 
 }  // namespace
 
-DayResult play_day(const Scenario& scenario, std::uint64_t seed, const PolicyMaker& policy,
-                   std::atomic<unsigned>* progress) {
+DayResult simulate_run(const Scenario& scenario, std::uint64_t seed, const PolicyMaker& policy,
+                       std::atomic<unsigned>* progress) {
   return Fleet(scenario, seed, policy).play(progress);
 }
 
--- a/src/lab/simulation/fleet_simulation.hpp
+++ b/src/lab/simulation/fleet_simulation.hpp
@@ -12,7 +12,7 @@
 namespace gateway::lab {
 
 // `progress`, if given, is set to the simulated share of the day, in thousandths.
-DayResult play_day(const Scenario& scenario, std::uint64_t seed, const PolicyMaker& policy,
-                   std::atomic<unsigned>* progress = nullptr);
+DayResult simulate_run(const Scenario& scenario, std::uint64_t seed, const PolicyMaker& policy,
+                       std::atomic<unsigned>* progress = nullptr);
 
 }  // namespace gateway::lab
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -51,7 +51,7 @@
   t.cores = 2;
   t.slots = 4;
   t.queue = 2;
-  t.fall_window = 1s;
+  t.collapse_window = 1s;
   t.handshake_work = 0.01;
   return t;
 }
@@ -68,11 +68,11 @@
 // Steps a host until nothing is left to do; when each job ended.
 std::map<JobId, double> ends_of(HostModel& host) {
   std::map<JobId, double> ends;
-  std::vector<Ended> ended;
-  while (host.holds() > 0 && host.next_event() != kNever) {
+  std::vector<FinishedJob> ended;
+  while (host.active_jobs() > 0 && host.next_event() != kNever) {
     const Time at = host.next_event();
     host.advance(at, ended);
-    for (const Ended& e : ended) {
+    for (const FinishedJob& e : ended) {
       ends[e.id] = to_seconds(at);
     }
     ended.clear();
@@ -85,11 +85,11 @@
 
 TEST(LabHost, CoresShareTheirTimeAndTheRestWaitsOrIsTurnedAway) {
   HostModel host(plain_host(), 0s, false);
-  std::vector<Ended> ended;
+  std::vector<FinishedJob> ended;
   for (JobId id = 1; id <= 6; ++id) {
-    EXPECT_EQ(host.arrive(0s, job(id, 1), ended), Admission::taken);
+    EXPECT_EQ(host.submit(0s, job(id, 1), ended), Admission::accepted);
   }
-  EXPECT_EQ(host.arrive(0s, job(7, 1), ended), Admission::full);
+  EXPECT_EQ(host.submit(0s, job(7, 1), ended), Admission::rejected);
   const auto ends = ends_of(host);
   // Four share two cores: each at half speed, done at 2 s; the two that waited then have a core
   // each.
@@ -103,18 +103,18 @@
 
 TEST(LabHost, WhatIsCancelledOrExpiredMakesRoom) {
   HostModel host(plain_host(), 0s, false);
-  std::vector<Ended> ended;
+  std::vector<FinishedJob> ended;
   for (JobId id = 1; id <= 4; ++id) {
-    host.arrive(0s, job(id, 1), ended);
+    host.submit(0s, job(id, 1), ended);
   }
   Job late = job(5, 1);
   late.deadline = 500ms;
-  host.arrive(0s, late, ended);
-  host.arrive(0s, job(6, 1), ended);
+  host.submit(0s, late, ended);
+  host.submit(0s, job(6, 1), ended);
   host.cancel(1s, 1, ended);  // frees a slot when the waiting one has expired
   ASSERT_EQ(ended.size(), 1u);
   EXPECT_EQ(ended[0].id, 5u);
-  EXPECT_EQ(ended[0].how, Ended::How::expired);
+  EXPECT_EQ(ended[0].outcome, FinishedJob::Outcome::expired);
   EXPECT_EQ(ends_of(host).count(6), 1u);
 }
 
@@ -132,56 +132,56 @@
   // It bears 3 x 0.5 work a second. Just under that it stands for ever; a little over, it falls.
   for (const double work : {0.14, 0.16}) {
     HostModel host(t, 0s, true);
-    std::vector<Ended> ended;
+    std::vector<FinishedJob> ended;
     for (JobId id = 0; id < 10; ++id) {
       Job j = job(id + 1, work);
       j.sender_knows_start = id < 8;
-      host.arrive(Duration(50ms) * static_cast<int>(id), j, ended);
+      host.submit(Duration(50ms) * static_cast<int>(id), j, ended);
     }
-    EXPECT_EQ(host.fallen().has_value(), work > 0.15) << work;
-    if (host.fallen()) {
-      EXPECT_NEAR(host.fallen()->known_share, 0.8, 1e-9);
+    EXPECT_EQ(host.collapse().has_value(), work > 0.15) << work;
+    if (host.collapse()) {
+      EXPECT_NEAR(host.collapse()->informed_share, 0.8, 1e-9);
     }
   }
 }
 
 TEST(LabHost, CrowdedTooLongItStaysSlowUntilItHasRested) {
   HostTraits t = plain_host();
-  t.crowds = true;
-  t.crowd_holds = 3;
-  t.crowd_for = 1s;
-  t.crowd_slower = 2;
-  t.crowd_below = 0;
-  t.crowd_rest = 3s;
-  t.crowd_most = 20s;
+  t.crowding = true;
+  t.crowding_threshold = 3;
+  t.crowding_delay = 1s;
+  t.crowding_slowdown = 2;
+  t.recovery_threshold = 0;
+  t.recovery_time = 3s;
+  t.max_slow_time = 20s;
   HostModel host(t, 0s, false);
-  std::vector<Ended> ended;
+  std::vector<FinishedJob> ended;
   for (JobId id = 1; id <= 4; ++id) {
-    host.arrive(0s, job(id, 10), ended);
+    host.submit(0s, job(id, 10), ended);
   }
   host.advance(900ms, ended);
-  EXPECT_FALSE(host.crowded());
+  EXPECT_FALSE(host.is_slowed());
   host.advance(1100ms, ended);
-  EXPECT_TRUE(host.crowded());
+  EXPECT_TRUE(host.is_slowed());
   for (JobId id = 1; id <= 4; ++id) {
     host.cancel(2s, id, ended);
   }
   host.advance(4900ms, ended);
-  EXPECT_TRUE(host.crowded());
+  EXPECT_TRUE(host.is_slowed());
   host.advance(5100ms, ended);
-  EXPECT_FALSE(host.crowded());
+  EXPECT_FALSE(host.is_slowed());
 }
 
 TEST(LabHost, WarmKeysCostLessAndAreBounded) {
   HostTraits t = plain_host();
-  t.warm_gain = 0.5;
-  t.warm_for = 5s;
+  t.warm_key_saving = 0.5;
+  t.warm_key_ttl = 5s;
   t.warm_keys = 2;
   HostModel host(t, 0s, false);
-  std::vector<Ended> ended;
+  std::vector<FinishedJob> ended;
   JobId id = 0;
   const auto took = [&](Time at, std::uint64_t key) {
-    host.arrive(at, job(++id, 0.1, key), ended);
+    host.submit(at, job(++id, 0.1, key), ended);
     return ends_of(host).at(id) - to_seconds(at);
   };
   EXPECT_NEAR(took(1s, 7), 0.1, 1e-6);
@@ -194,17 +194,17 @@
 
 TEST(LabDiscovery, WordComesLateAndAServiceOverItsCapacityAnswers503) {
   DiscoverySpec spec;
-  spec.notice_s = Range(2);
+  spec.removal_delay_s = Range(2);
   spec.call_ms = 500;
   spec.line_us = 0;
   spec.timeout_ms = 900;
   DiscoveryModel list(spec, 1);
-  list.tell_at_once(0s, {1, EndpointState::active, {}});
-  list.tell(10s, {1, EndpointState::removed, {}});
+  list.publish_immediately(0s, {1, EndpointState::active, {}});
+  list.publish(10s, {1, EndpointState::removed, {}});
   EXPECT_TRUE(list.advance(11900ms).empty());
   EXPECT_EQ(list.advance(12100ms).size(), 1u);
   bool whole = true;
-  EXPECT_EQ(list.since(1, whole).size(), 1u);
+  EXPECT_EQ(list.changes_since(1, whole).size(), 1u);
   EXPECT_FALSE(whole);
   EXPECT_TRUE(list.call(20s, 1).ok);
   EXPECT_TRUE(list.call(20s, 1).ok);
@@ -410,14 +410,14 @@
   };
   for (const auto& c : cases) {
     SCOPED_TRACE(std::string(name_of(c.rule)));
-    const DayResult broken = play_day(c.day, 1, c.broken);
+    const DayResult broken = simulate_run(c.day, 1, c.broken);
     EXPECT_GT(breaches(broken, c.rule), 0u);
     for (std::size_t i = 0; i < kRules; ++i) {
       if (static_cast<Rule>(i) != c.rule && c.also.count(static_cast<Rule>(i)) == 0) {
         EXPECT_EQ(broken.breaches[i], 0u) << "also: " << name_of(static_cast<Rule>(i));
       }
     }
-    const DayResult good = play_day(c.day, 1, make_balancer);
+    const DayResult good = simulate_run(c.day, 1, make_balancer);
     for (const Breach& b : good.first_breaches) {
       ADD_FAILURE() << name_of(b.rule) << ": " << b.what;
     }
@@ -454,13 +454,14 @@
 
 TEST(LabDay, WithEveryTroubleAtOnceItRepeatsByteForByteForAnyNumberOfJobs) {
   const Scenario day = small_day(kEverything);
-  const std::string one = bytes_of(play_days(day, 1, 4, 1, make_balancer));
-  EXPECT_EQ(one, bytes_of(play_days(day, 1, 4, 4, make_balancer)));
-  EXPECT_NE(one, bytes_of(play_days(day, 2, 4, 4, make_balancer))) << "the seed changes nothing";
+  const std::string one = bytes_of(simulate_runs(day, 1, 4, 1, make_balancer));
+  EXPECT_EQ(one, bytes_of(simulate_runs(day, 1, 4, 4, make_balancer)));
+  EXPECT_NE(one, bytes_of(simulate_runs(day, 2, 4, 4, make_balancer)))
+      << "the seed changes nothing";
 }
 
 TEST(LabDay, EveryWishEndsOnce) {
-  for (const DayResult& day : play_days(small_day(kEverything), 1, 4, 4, make_balancer)) {
+  for (const DayResult& day : simulate_runs(small_day(kEverything), 1, 4, 4, make_balancer)) {
     for (const ClassTally& c : day.tally.classes) {
       std::uint64_t ends = 0;
       for (std::uint64_t n : c.fates) {
@@ -473,7 +474,7 @@
 }
 
 TEST(LabDay, TheModuleKeepsTheRulesWithEveryTroubleAtOnce) {
-  for (const DayResult& day : play_days(small_day(kEverything), 1, 8, 4, make_balancer)) {
+  for (const DayResult& day : simulate_runs(small_day(kEverything), 1, 8, 4, make_balancer)) {
     for (const Breach& b : day.first_breaches) {
       ADD_FAILURE() << "seed " << day.seed << " at " << to_seconds(b.at)
                     << " s: " << name_of(b.rule) << ": " << b.what;
@@ -525,9 +526,9 @@
     noisy.push_back(a.back() + 0.05 * random.normal());
     better.push_back(a.back() + 0.05 * random.normal() + 0.05);
   }
-  EXPECT_TRUE(compare("x", a, noisy).noise());
+  EXPECT_TRUE(compare("x", a, noisy).is_noise());
   const Difference d = compare("x", a, better);
-  EXPECT_FALSE(d.noise());
+  EXPECT_FALSE(d.is_noise());
   EXPECT_LT(d.low, 0.05);
   EXPECT_GT(d.high, 0.05);
 }
@@ -537,7 +538,7 @@
                                 load_balancer::Time) -> std::unique_ptr<Policy> {
     throw std::runtime_error("broken");
   };
-  EXPECT_THROW(play_days(small_day(), 1, 8, 4, throws), std::runtime_error);
+  EXPECT_THROW(simulate_runs(small_day(), 1, 8, 4, throws), std::runtime_error);
 }
 
 }  // namespace
