--- a/src/lab/model/host_model.cpp
+++ b/src/lab/model/host_model.cpp
@@ -6,23 +6,23 @@
 namespace gateway::lab {
 namespace {
 
-// the speed of a cold host is renewed this often
-constexpr Duration kColdStep = std::chrono::milliseconds(100);
-constexpr double kDone = 1e-9;       // seconds of work: less is nothing
-constexpr std::size_t kSamples = 8;  // load reports kept until they are told
+// Interval at which the speed of a cold host is updated while it warms up.
+constexpr Duration kColdUpdateInterval = std::chrono::milliseconds(100);
+constexpr double kWorkTolerance = 1e-9;  // seconds of work; a job with less left is done
+constexpr std::size_t kMaxSamples = 8;   // load reports kept until their delay has passed
 
 }  // namespace
 
 HostTraits draw_traits(const Scenario& s, const KindSpec& kind, Random& random) {
   HostTraits t;
   const double cores = kind.cores;
-  const auto whole = [&](const Range& per_core) {
+  const auto per_host = [&](const Range& per_core) {
     return static_cast<std::size_t>(std::lround(per_core.draw(random) * cores));
   };
   t.cores = kind.cores;
   t.speed = kind.speed.draw(random);
-  t.slots = std::max<std::size_t>(whole(kind.slots_per_core), 1);
-  t.queue = whole(kind.queue_per_core);
+  t.slots = std::max<std::size_t>(per_host(kind.slots_per_core), 1);
+  t.queue = per_host(kind.queue_per_core);
   t.thrash = kind.thrash.draw(random);
   t.thrash_at = kind.thrash_at.draw(random);
   t.cold_share = kind.cold_share.draw(random);
@@ -37,8 +37,8 @@
   t.max_slow_time = from_seconds(s.hosts.crowding.most_s.draw(random));
   t.warm_key_saving = s.hosts.warm.on ? s.hosts.warm.gain.draw(random) : 0;
   t.warm_key_ttl = from_seconds(s.hosts.warm.for_s.draw(random));
-  t.warm_keys = whole(s.hosts.warm.keys_per_core);
-  t.connections = std::max<std::size_t>(whole(s.hosts.connections.cap_per_core), 1);
+  t.warm_keys = per_host(s.hosts.warm.keys_per_core);
+  t.connections = std::max<std::size_t>(per_host(s.hosts.connections.cap_per_core), 1);
   t.full_tax = s.hosts.connections.full_tax.draw(random);
   t.handshake_work = s.hosts.connections.handshake_us.draw(random) / 1e6;
   t.collapse_load_factor = s.rules.collapse_load_factor;
@@ -54,111 +54,115 @@
 HostModel::HostModel(HostTraits traits, Time now, bool cold)
     : traits_(traits),
       started_(now),
-      at_(now),
+      time_(now),
       started_cold_(cold),
-      sample_at_(now + traits.report_period) {}
+      next_sample_at_(now + traits.report_period) {}
 
 double HostModel::warmth(Time now) const {
   if (!started_cold_ || now - started_ >= traits_.cold_time) {
     return 1;
   }
-  const double passed = to_seconds(now - started_) / to_seconds(traits_.cold_time);
-  return traits_.cold_share + (1 - traits_.cold_share) * passed;
+  const double elapsed = to_seconds(now - started_) / to_seconds(traits_.cold_time);
+  return traits_.cold_share + (1 - traits_.cold_share) * elapsed;
 }
 
 double HostModel::capacity(Time now) const {
-  const double full = static_cast<double>(connections_) / static_cast<double>(traits_.connections);
+  const double table_fill =
+      static_cast<double>(connections_) / static_cast<double>(traits_.connections);
   return traits_.cores * traits_.speed * warmth(now) * (1 - condition_.stolen_share) *
-         (1 - traits_.full_tax * std::min(full, 1.0)) /
-         (condition_.slowdown * (slow_ ? traits_.crowding_slowdown : 1));
+         (1 - traits_.full_tax * std::min(table_fill, 1.0)) /
+         (condition_.slowdown * (is_slowed_ ? traits_.crowding_slowdown : 1));
 }
 
-double HostModel::speed_each(Time now) const {
-  if (working_.empty()) {
+double HostModel::speed_per_job(Time now) const {
+  if (running_jobs_.empty()) {
     return 0;
   }
-  const auto n = static_cast<double>(working_.size());
+  const auto n = static_cast<double>(running_jobs_.size());
   const double per_core = n / traits_.cores;
   const double efficiency = 1 / (1 + traits_.thrash * std::max(per_core - traits_.thrash_at, 0.0));
   return capacity(now) * efficiency / std::max(n, static_cast<double>(traits_.cores));
 }
 
-void HostModel::renew_next(Time now) {
-  next_ = kNever;
+void HostModel::update_next_event(Time now) {
+  next_event_time_ = kNever;
   if (!running_ || collapse_) {
     return;
   }
-  if (!working_.empty()) {
-    const double speed = speed_each(now);
-    const double left = std::max(working_.begin()->first - given_, 0.0);
-    next_ = now + Duration(static_cast<Duration::rep>(std::ceil(left / speed * 1e9)));
+  if (!running_jobs_.empty()) {
+    const double speed = speed_per_job(now);
+    const double remaining = std::max(running_jobs_.begin()->first - service_per_job_, 0.0);
+    next_event_time_ =
+        now + Duration(static_cast<Duration::rep>(std::ceil(remaining / speed * 1e9)));
     if (warmth(now) < 1) {
-      next_ = std::min(next_, now + kColdStep);
+      next_event_time_ = std::min(next_event_time_, now + kColdUpdateInterval);
     }
   }
   if (crowded_since_ != kNever) {
-    next_ = std::min(next_, crowded_since_ + traits_.crowding_delay);
+    next_event_time_ = std::min(next_event_time_, crowded_since_ + traits_.crowding_delay);
   }
-  if (slow_) {
-    next_ = std::min(next_, slow_since_ + traits_.max_slow_time);
-    if (resting_since_ != kNever) {
-      next_ = std::min(next_, resting_since_ + traits_.recovery_time);
+  if (is_slowed_) {
+    next_event_time_ = std::min(next_event_time_, slowed_since_ + traits_.max_slow_time);
+    if (recovering_since_ != kNever) {
+      next_event_time_ = std::min(next_event_time_, recovering_since_ + traits_.recovery_time);
     }
   }
-  next_ = std::max(next_, now + Duration(1));
+  next_event_time_ = std::max(next_event_time_, now + Duration(1));
 }
 
 Time HostModel::next_event() const {
-  return next_;
+  return next_event_time_;
 }
 
-// Between two calls of this nothing that sets the speed changes, but for the warming of a cold
-// host, which is renewed in steps.
+// The speed is constant within one step: everything that changes it (arrivals, cancellations, new
+// conditions) advances the model first. The warm-up of a cold host is approximated in steps of
+// kColdUpdateInterval.
 void HostModel::advance(Time now, std::vector<FinishedJob>& ended) {
-  while (at_ < now) {
-    const Time to = std::min(now, next_);
-    const double passed = to_seconds(to - at_);
-    const double speed = speed_each(at_);
-    const auto in_work = static_cast<double>(working_.size());
-    given_ += passed * speed;
-    work_done_ += passed * speed * in_work;
-    busy_ += passed * std::min(in_work / traits_.cores, 1.0);
-    at_ = to;
-    while (!working_.empty() && working_.begin()->first - given_ <= kDone) {
-      const JobId id = working_.begin()->second;
-      working_.erase(working_.begin());
+  while (time_ < now) {
+    const Time to = std::min(now, next_event_time_);
+    const double elapsed = to_seconds(to - time_);
+    const double speed = speed_per_job(time_);
+    const auto in_work = static_cast<double>(running_jobs_.size());
+    service_per_job_ += elapsed * speed;
+    work_done_ += elapsed * speed * in_work;
+    busy_ += elapsed * std::min(in_work / traits_.cores, 1.0);
+    time_ = to;
+    while (!running_jobs_.empty() &&
+           running_jobs_.begin()->first - service_per_job_ <= kWorkTolerance) {
+      const JobId id = running_jobs_.begin()->second;
+      running_jobs_.erase(running_jobs_.begin());
       const auto it = jobs_.find(id);
-      latency_sum_ += to_seconds(at_ - it->second.began);
+      latency_sum_ += to_seconds(time_ - it->second.work_started_at);
       ++latency_count_;
       ended.push_back({id, FinishedJob::Outcome::done, it->second.cost});
       jobs_.erase(it);
     }
-    if (working_.empty()) {
-      given_ = 0;
+    if (running_jobs_.empty()) {
+      service_per_job_ = 0;
     }
-    if (traits_.report_period > Duration{} && at_ >= sample_at_) {
-      const double span = to_seconds(at_ - sample_at_ + traits_.report_period);
+    if (traits_.report_period > Duration{} && time_ >= next_sample_at_) {
+      const double period = to_seconds(time_ - next_sample_at_ + traits_.report_period);
       if (latency_count_ > 0) {
-        latency_last_ = 1e3 * latency_sum_ / static_cast<double>(latency_count_);
+        last_latency_ms_ = 1e3 * latency_sum_ / static_cast<double>(latency_count_);
       }
-      samples_.push_back({at_, {latency_last_, std::min(busy_ / span, 1.0)}});
-      if (samples_.size() > kSamples) {
+      samples_.push_back({time_, {last_latency_ms_, std::min(busy_ / period, 1.0)}});
+      if (samples_.size() > kMaxSamples) {
         samples_.pop_front();
       }
       busy_ = latency_sum_ = 0;
       latency_count_ = 0;
-      sample_at_ = at_ + traits_.report_period;
+      next_sample_at_ = time_ + traits_.report_period;
     }
-    fill(at_, ended);
-    note_crowd(at_);
-    renew_next(at_);
+    start_waiting_jobs(time_, ended);
+    update_crowding(time_);
+    update_next_event(time_);
   }
 }
 
-void HostModel::fill(Time now, std::vector<FinishedJob>& ended) {
-  while (!waiting_.empty() && working_.size() < traits_.slots) {
-    const JobId id = waiting_.front();
-    waiting_.pop_front();
+void HostModel::start_waiting_jobs(Time now, std::vector<FinishedJob>& ended) {
+  while (!waiting_jobs_.empty() && running_jobs_.size() < traits_.slots) {
+    const JobId id = waiting_jobs_.front();
+    waiting_jobs_.pop_front();
     const auto it = jobs_.find(id);
     if (it == jobs_.end() || it->second.working) {
       continue;
@@ -169,43 +173,43 @@
       ended.push_back({id, FinishedJob::Outcome::expired, 0});
       continue;
     }
-    Held& h = it->second;
+    ActiveJob& h = it->second;
     h.working = true;
-    h.began = now;
-    h.cost = cost_of(now, h.job);
-    h.mark = given_ + h.cost;
-    working_.emplace(h.mark, id);
+    h.work_started_at = now;
+    h.cost = work_of_job(now, h.job);
+    h.finish_at_service = service_per_job_ + h.cost;
+    running_jobs_.emplace(h.finish_at_service, id);
   }
 }
 
-double HostModel::cost_of(Time now, const Job& job) {
+double HostModel::work_of_job(Time now, const Job& job) {
   double work = job.work + (job.handshake ? traits_.handshake_work : 0);
   if (!job.has_key || traits_.warm_keys == 0 || traits_.warm_key_saving <= 0) {
     return work;
   }
-  const auto met = warm_at_.find(job.key);
-  if (met != warm_at_.end()) {
-    if (now - met->second->second <= traits_.warm_key_ttl) {
+  const auto warm_key = warm_key_positions_.find(job.key);
+  if (warm_key != warm_key_positions_.end()) {
+    if (now - warm_key->second->second <= traits_.warm_key_ttl) {
       work -= job.work * traits_.warm_key_saving;
     }
-    warm_.erase(met->second);
-    warm_at_.erase(met);
+    warm_keys_.erase(warm_key->second);
+    warm_key_positions_.erase(warm_key);
   }
-  warm_.emplace_front(job.key, now);
-  warm_at_[job.key] = warm_.begin();
-  if (warm_.size() > traits_.warm_keys) {
-    warm_at_.erase(warm_.back().first);
-    warm_.pop_back();
+  warm_keys_.emplace_front(job.key, now);
+  warm_key_positions_[job.key] = warm_keys_.begin();
+  if (warm_keys_.size() > traits_.warm_keys) {
+    warm_key_positions_.erase(warm_keys_.back().first);
+    warm_keys_.pop_back();
   }
   return work;
 }
 
-void HostModel::note_crowd(Time now) {
+void HostModel::update_crowding(Time now) {
   if (!traits_.crowding) {
     return;
   }
   const auto held = static_cast<double>(jobs_.size());
-  if (!slow_) {
+  if (!is_slowed_) {
     if (held <= traits_.crowding_threshold) {
       crowded_since_ = kNever;
     } else if (crowded_since_ == kNever) {
@@ -214,45 +218,46 @@
     if (crowded_since_ == kNever || now - crowded_since_ < traits_.crowding_delay) {
       return;
     }
-    slow_ = true;
-    slow_since_ = now;
-    crowded_since_ = resting_since_ = kNever;
+    is_slowed_ = true;
+    slowed_since_ = now;
+    crowded_since_ = recovering_since_ = kNever;
   }
   if (held >= traits_.recovery_threshold + 1) {
-    resting_since_ = kNever;
-  } else if (resting_since_ == kNever) {
-    resting_since_ = now;
+    recovering_since_ = kNever;
+  } else if (recovering_since_ == kNever) {
+    recovering_since_ = now;
   }
-  const bool rested = resting_since_ != kNever && now - resting_since_ >= traits_.recovery_time;
-  if (rested || now - slow_since_ >= traits_.max_slow_time) {
-    slow_ = false, crowded_since_ = resting_since_ = kNever;
+  const bool has_recovered =
+      recovering_since_ != kNever && now - recovering_since_ >= traits_.recovery_time;
+  if (has_recovered || now - slowed_since_ >= traits_.max_slow_time) {
+    is_slowed_ = false, crowded_since_ = recovering_since_ = kNever;
   }
 }
 
-// Work sent to a cold host, refused or not, within one window; false: that felled it.
-bool HostModel::push(Time now, const Job& job, double work) {
+// Rejected jobs count too: the limit is on the work sent within the collapse window.
+bool HostModel::record_sent_work(Time now, const Job& job, double work) {
   if (warmth(now) >= 1) {
-    pushes_.clear();
-    pushed_ = 0;
+    sent_work_.clear();
+    sent_work_sum_ = 0;
     return true;
   }
-  pushes_.push_back({now, work, job.sender_knows_start});
-  pushed_ += work;
-  while (pushes_.front().at <= now - traits_.collapse_window) {
-    pushed_ -= pushes_.front().work;
-    pushes_.pop_front();
+  sent_work_.push_back({now, work, job.sender_knows_start});
+  sent_work_sum_ += work;
+  while (sent_work_.front().at <= now - traits_.collapse_window) {
+    sent_work_sum_ -= sent_work_.front().work;
+    sent_work_.pop_front();
   }
-  const double borne =
+  const double work_limit =
       traits_.collapse_load_factor * capacity(now) * to_seconds(traits_.collapse_window) +
       traits_.collapse_slack;
-  if (pushed_ <= borne) {
+  if (sent_work_sum_ <= work_limit) {
     return true;
   }
-  double known = 0;
-  for (const Push& p : pushes_) {
-    known += p.known ? p.work : 0;
+  double informed_work = 0;
+  for (const SentWork& p : sent_work_) {
+    informed_work += p.informed ? p.work : 0;
   }
-  collapse_ = Collapse{pushed_, borne, known / pushed_};
+  collapse_ = Collapse{sent_work_sum_, work_limit, informed_work / sent_work_sum_};
   return false;
 }
 
@@ -261,18 +266,18 @@
   if (!running_ || collapse_) {
     return Admission::rejected;
   }
-  if (!push(now, job, job.work + (job.handshake ? traits_.handshake_work : 0))) {
+  if (!record_sent_work(now, job, job.work + (job.handshake ? traits_.handshake_work : 0))) {
     return Admission::rejected;
   }
-  if (working_.size() >= traits_.slots && waiting_count_ >= traits_.queue) {
+  if (running_jobs_.size() >= traits_.slots && waiting_count_ >= traits_.queue) {
     return Admission::rejected;
   }
-  jobs_.emplace(job.id, Held{job, 0, 0, false, now});
-  waiting_.push_back(job.id);
+  jobs_.emplace(job.id, ActiveJob{job, 0, 0, false, now});
+  waiting_jobs_.push_back(job.id);
   ++waiting_count_;
-  fill(now, ended);
-  note_crowd(now);
-  renew_next(now);
+  start_waiting_jobs(now, ended);
+  update_crowding(now);
+  update_next_event(now);
   return Admission::accepted;
 }
 
@@ -283,32 +288,32 @@
     return;
   }
   if (it->second.working) {
-    working_.erase({it->second.mark, id});
+    running_jobs_.erase({it->second.finish_at_service, id});
   } else {
     --waiting_count_;
   }
   jobs_.erase(it);
-  fill(now, ended);
-  note_crowd(now);
-  renew_next(now);
+  start_waiting_jobs(now, ended);
+  update_crowding(now);
+  update_next_event(now);
 }
 
 void HostModel::set_condition(Time now, const Condition& condition,
                               std::vector<FinishedJob>& ended) {
   advance(now, ended);
   condition_ = condition;
-  renew_next(now);
+  update_next_event(now);
 }
 
 void HostModel::stop(Time now) {
-  at_ = std::max(at_, now);
+  time_ = std::max(time_, now);
   running_ = false;
   jobs_.clear();
-  working_.clear();
-  waiting_.clear();
+  running_jobs_.clear();
+  waiting_jobs_.clear();
   waiting_count_ = 0;
   connections_ = 0;
-  next_ = kNever;
+  next_event_time_ = kNever;
 }
 
 void HostModel::restart(Time now) {
@@ -317,17 +322,17 @@
   started_ = now;
   started_cold_ = true;
   collapse_.reset();
-  given_ = 0;
-  slow_ = false;
-  crowded_since_ = resting_since_ = kNever;
-  pushes_.clear();
-  pushed_ = 0;
-  warm_.clear();
-  warm_at_.clear();
+  service_per_job_ = 0;
+  is_slowed_ = false;
+  crowded_since_ = recovering_since_ = kNever;
+  sent_work_.clear();
+  sent_work_sum_ = 0;
+  warm_keys_.clear();
+  warm_key_positions_.clear();
   samples_.clear();
   busy_ = latency_sum_ = 0;
   latency_count_ = 0;
-  sample_at_ = now + traits_.report_period;
+  next_sample_at_ = now + traits_.report_period;
 }
 
 bool HostModel::open_connection() {
@@ -352,10 +357,10 @@
       continue;
     }
     Random noise(traits_.report_seed, "report", static_cast<std::uint64_t>(sample.at.count()));
-    LoadReport told = sample.report;
-    told.latency_ms *= std::max(1 + traits_.report_noise * noise.normal(), 0.0);
-    told.util = std::clamp(told.util * (1 + traits_.report_noise * noise.normal()), 0.0, 1.0);
-    return told;
+    LoadReport report = sample.report;
+    report.latency_ms *= std::max(1 + traits_.report_noise * noise.normal(), 0.0);
+    report.util = std::clamp(report.util * (1 + traits_.report_noise * noise.normal()), 0.0, 1.0);
+    return report;
   }
   return std::nullopt;
 }
--- a/src/lab/simulation/fleet_simulation.hpp
+++ b/src/lab/simulation/fleet_simulation.hpp
@@ -1,5 +1,6 @@
-// One day of a scenario in virtual time: hosts, discovery, clients and gateways in this process,
-// driven by one agenda. Same scenario, seed and policy: same result, byte for byte.
+// One run of a scenario in virtual time: hosts, discovery, clients and gateways in this process,
+// driven by one event queue. The same scenario, seed and policy give the same result, byte for
+// byte.
 #pragma once
 
 #include <atomic>
@@ -11,7 +12,8 @@
 
 namespace gateway::lab {
 
-// `progress`, if given, is set to the simulated share of the day, in thousandths.
+// `progress`, if given, is set to the simulated part of the scenario's length, in thousandths.
+// Throws std::logic_error when the policy sends to an unknown host, and what the policy throws.
 DayResult simulate_run(const Scenario& scenario, std::uint64_t seed, const PolicyMaker& policy,
                        std::atomic<unsigned>* progress = nullptr);
 
