--- a/src/lab/model/clients.hpp
+++ b/src/lab/model/clients.hpp
@@ -1,6 +1,6 @@
-// The clients' side: what they wish, how long they wait, when they come again. Pure; the virtual
-// fleet and the load tool both ask it. A wish is what a client wants done; a try is one request for
-// it.
+// Model of the clients: their operations, how long they wait, and when they retry. An operation is
+// what a client wants done; the client sends one request for it and may retry. No clock and no I/O:
+// the simulation and the live run both drive it.
 #pragma once
 
 #include <cstdint>
@@ -15,55 +15,50 @@
 
 namespace gateway::lab {
 
-enum class RequestOutcome {
-  served,
-  refused,
-  failed,
-  unanswered,
-  unreachable
-};  // unreachable: no gateway took it
+// Outcome of one request as the client sees it. unreachable: no gateway accepted the connection;
+// unanswered: no response within the client's time.
+enum class RequestOutcome { served, refused, failed, unanswered, unreachable };
 
 class Clients {
  public:
-  Clients(const Scenario& scenario, std::uint64_t seed, Time start, RunMetrics& tally);
+  Clients(const Scenario& scenario, std::uint64_t seed, Time start, RunMetrics& metrics);
 
-  using OperationId = std::uint32_t;  // given out again once the wish is over
-  OperationId begin_operation(const Arrival& first);
-  const Arrival& arrival(OperationId wish) const { return wishes_[wish].first; }
+  using OperationId = std::uint32_t;  // reused once the operation has ended
+  OperationId begin_operation(const Arrival& arrival);
+  const Arrival& arrival(OperationId operation) const { return operations_[operation].arrival; }
 
-  // A try sets out: how long its client will wait. `leaves`: it will go away after that time
-  // without a word.
+  // Begins a request of the operation and draws how long its client waits.
   struct RequestPlan {
-    Duration timeout{};
-    std::optional<Duration> disconnect_after;
+    Duration timeout{};                        // from now
+    std::optional<Duration> disconnect_after;  // if set, the client closes the connection then
   };
-  RequestPlan begin_request(Time now, OperationId wish);
+  RequestPlan begin_request(Time now, OperationId operation);
 
-  // What became of the try. The wait until the next one, or none: the wish is over and its id is
-  // free.
-  std::optional<Duration> end_request(Time now, OperationId wish, RequestOutcome end,
+  // Records the outcome of the request. Returns the wait before the retry; without one the
+  // operation has ended and its id is free.
+  std::optional<Duration> end_request(Time now, OperationId operation, RequestOutcome outcome,
                                       Duration retry_after);
 
-  std::size_t open_operations() const { return open_; }
+  std::size_t open_operations() const { return open_operations_; }
 
  private:
-  struct Wish {
-    Arrival first;
+  struct Operation {
+    Arrival arrival;
     Time deadline{};
-    unsigned tries = 0;
-    bool honours = false;
-    double share = 0.5, backoff = 0.1, worth = 0;
+    unsigned requests = 0;
+    bool honours_retry_after = false;
+    double timeout_share = 0.5, backoff = 0.1, value = 0;
   };
-  bool may_come_again(const Wish& wish, RequestOutcome end) const;
+  bool may_retry(const Operation& operation, RequestOutcome outcome) const;
 
   const Scenario& scenario_;
-  RunMetrics& tally_;
+  RunMetrics& metrics_;
   Random random_;
   Time start_;
-  double share_, backoff_;
-  std::vector<Wish> wishes_;
-  std::vector<OperationId> free_;
-  std::size_t open_ = 0;
+  double timeout_share_, backoff_;
+  std::vector<Operation> operations_;
+  std::vector<OperationId> free_ids_;
+  std::size_t open_operations_ = 0;
 };
 
 }  // namespace gateway::lab
--- a/src/lab/model/connection_model.hpp
+++ b/src/lab/model/connection_model.hpp
@@ -1,5 +1,4 @@
-// The connections between one gateway of a virtual run and the hosts: which are idle and for how
-// long.
+// The idle connections of one gateway of a simulation, by host, and since when they are idle.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +12,11 @@
  public:
   explicit ConnectionModel(Duration idle_close) : idle_close_(idle_close) {}
 
-  // Takes the idle connection that was used last. False: there is none. `closed`: how many turned
-  // out too old.
+  // Takes the most recently used idle connection. False: there is none. `closed`: how many idle
+  // connections were closed because they had exceeded the idle time.
   bool reuse(Time now, std::uint32_t host, std::size_t& closed) {
     std::vector<Time>& idle = at(host);
-    closed = drop_old(now, idle);
+    closed = remove_expired(now, idle);
     if (idle.empty()) {
       return false;
     }
@@ -25,23 +24,23 @@
     return true;
   }
   void release(Time now, std::uint32_t host) { at(host).push_back(now); }
-  std::size_t drop_idle(std::uint32_t host) {
+  std::size_t close_idle(std::uint32_t host) {
     const std::size_t count = at(host).size();
     at(host).clear();
     return count;
   }
   template <class Closed>  // Closed(host, count)
-  void drop_old_everywhere(Time now, Closed closed) {
+  void close_expired(Time now, Closed closed) {
     for (std::uint32_t h = 0; h < idle_.size(); ++h) {
-      if (const std::size_t count = drop_old(now, idle_[h])) {
+      if (const std::size_t count = remove_expired(now, idle_[h])) {
         closed(h, count);
       }
     }
   }
   template <class Closed>
-  void drop_all(Closed closed) {
+  void close_all(Closed closed) {
     for (std::uint32_t h = 0; h < idle_.size(); ++h) {
-      if (const std::size_t count = drop_idle(h)) {
+      if (const std::size_t count = close_idle(h)) {
         closed(h, count);
       }
     }
@@ -54,7 +53,7 @@
     }
     return idle_[host];
   }
-  std::size_t drop_old(Time now, std::vector<Time>& idle) const {  // the oldest stand in front
+  std::size_t remove_expired(Time now, std::vector<Time>& idle) const {  // the oldest come first
     std::size_t old = 0;
     while (old < idle.size() && now - idle[old] >= idle_close_) {
       ++old;
@@ -66,7 +65,7 @@
   }
 
   Duration idle_close_;
-  std::vector<std::vector<Time>> idle_;  // by host: since when
+  std::vector<std::vector<Time>> idle_;  // by host: since when each is idle
 };
 
 }  // namespace gateway::lab
--- a/src/lab/model/discovery_model.cpp
+++ b/src/lab/model/discovery_model.cpp
@@ -2,63 +2,64 @@
 
 namespace gateway::lab {
 namespace {
-// a host that is gone stays among the changes so long
-constexpr Duration kKeepGone = std::chrono::seconds(60);
+// A removed host stays in the difference lists for this long.
+constexpr Duration kRemovedEntryRetention = std::chrono::seconds(60);
 }  // namespace
 
 DiscoveryModel::DiscoveryModel(const DiscoverySpec& spec, std::uint64_t seed)
     : spec_(spec), random_(seed, "discovery") {}
 
-void DiscoveryModel::publish(Time now, const ListedHost& truth) {
-  const bool up = truth.state == load_balancer::EndpointState::active;
-  Time due = now +
-             from_seconds((up ? spec_.addition_delay_s : spec_.removal_delay_s).draw(random_)) +
-             stale_;
-  Time& last = last_due_[truth.host];
-  due = last = std::max(due, last);
-  coming_.add(due, truth);
+void DiscoveryModel::publish(Time now, const ListedHost& change) {
+  const bool added = change.state == load_balancer::EndpointState::active;
+  Time visible_at =
+      now + from_seconds((added ? spec_.addition_delay_s : spec_.removal_delay_s).draw(random_)) +
+      extra_delay_;
+  Time& previous = last_visible_at_[change.host];
+  visible_at = previous = std::max(visible_at, previous);
+  pending_.add(visible_at, change);
 }
 
-void DiscoveryModel::publish_immediately(Time now, const ListedHost& truth) {
-  enter(now, truth);
+void DiscoveryModel::publish_immediately(Time now, const ListedHost& change) {
+  apply(now, change);
 }
 
-void DiscoveryModel::enter(Time now, const ListedHost& listed) {
+void DiscoveryModel::apply(Time now, const ListedHost& listed) {
   rows_[listed.host] = {listed, ++revision_, now};
 }
 
 std::vector<ListedHost> DiscoveryModel::advance(Time now) {
-  std::vector<ListedHost> fresh;
-  while (coming_.next_at() <= now) {
-    const ListedHost listed = coming_.pop();
-    enter(now, listed);
-    fresh.push_back(listed);
-    if (const auto due = last_due_.find(listed.host);
-        due != last_due_.end() && due->second <= now) {
-      last_due_.erase(due);
+  std::vector<ListedHost> changed;
+  while (pending_.next_at() <= now) {
+    const ListedHost listed = pending_.pop();
+    apply(now, listed);
+    changed.push_back(listed);
+    if (const auto visible_at = last_visible_at_.find(listed.host);
+        visible_at != last_visible_at_.end() && visible_at->second <= now) {
+      last_visible_at_.erase(visible_at);
     }
   }
-  // Danger: hosts are replaced all day; those long gone would be kept for good.
-  if (!fresh.empty()) {
+  // Without this, the entries of removed hosts would accumulate over a long run.
+  if (!changed.empty()) {
     std::erase_if(rows_, [&](const auto& row) {
       const Row& r = row.second;
-      const bool old =
-          r.listed.state == load_balancer::EndpointState::removed && r.at + kKeepGone < now;
-      if (old) {
-        forgotten_ = std::max(forgotten_, r.revision);
+      const bool expired = r.listed.state == load_balancer::EndpointState::removed &&
+                           r.at + kRemovedEntryRetention < now;
+      if (expired) {
+        oldest_delta_revision_ = std::max(oldest_delta_revision_, r.revision);
       }
-      return old;
+      return expired;
     });
   }
-  return fresh;
+  return changed;
 }
 
-std::vector<ListedHost> DiscoveryModel::changes_since(std::uint64_t revision, bool& whole) const {
-  whole = revision < forgotten_ || revision == 0;
+std::vector<ListedHost> DiscoveryModel::changes_since(std::uint64_t revision,
+                                                      bool& is_snapshot) const {
+  is_snapshot = revision < oldest_delta_revision_ || revision == 0;
   std::vector<ListedHost> entries;
   for (const auto& [host, row] : rows_) {
-    if (whole ? row.listed.state != load_balancer::EndpointState::removed
-              : row.revision > revision) {
+    if (is_snapshot ? row.listed.state != load_balancer::EndpointState::removed
+                    : row.revision > revision) {
       entries.push_back(row.listed);
     }
   }
@@ -70,9 +71,9 @@
     return {now, false};
   }
   const Time begin = std::max(now, busy_until_);
-  const Time limit = now + from_millis(spec_.timeout_ms);
-  if (begin > limit) {
-    return {limit, false};  // it left the queue before its turn: no work was done for it
+  const Time timeout_at = now + from_millis(spec_.timeout_ms);
+  if (begin > timeout_at) {
+    return {timeout_at, false};  // timed out in the queue: costs the server no work
   }
   busy_until_ =
       begin + from_millis(spec_.call_ms + spec_.line_us / 1e3 * static_cast<double>(lines));
--- a/src/lab/model/event_queue.hpp
+++ b/src/lab/model/event_queue.hpp
@@ -1,5 +1,5 @@
-// Events to come, in order of time; what falls on the same moment keeps the order in which it was
-// entered.
+// Scheduled events in order of time; events of the same time keep the order in which they were
+// added.
 #pragma once
 
 #include <cstdint>
@@ -31,7 +31,7 @@
  public:
   void add(Time at, Event event) { heap_.push({at, next_++, std::move(event)}); }
   Time next_at() const { return heap_.empty() ? kNever : heap_.top().at; }
-  Event pop() {  // not on an empty one
+  Event pop() {  // the queue must not be empty
     Event event = std::move(heap_.top().event);
     heap_.pop();
     return event;
--- a/src/lab/model/fleet_topology.cpp
+++ b/src/lab/model/fleet_topology.cpp
@@ -8,30 +8,31 @@
 namespace gateway::lab {
 namespace {
 
-// Deals `count` things over weights as evenly as whole numbers allow, in order of index.
-std::vector<std::uint32_t> deal(std::size_t count, const std::vector<double>& weights) {
-  double all = 0;
+// Assigns `count` items to the weights, as evenly as whole numbers allow. Entry i of the result is
+// the index of the weight that item i is assigned to.
+std::vector<std::uint32_t> distribute(std::size_t count, const std::vector<double>& weights) {
+  double weight_sum = 0;
   for (double w : weights) {
-    all += w;
+    weight_sum += w;
   }
-  std::vector<std::uint32_t> out;
-  std::vector<double> given(weights.size());
+  std::vector<std::uint32_t> result;
+  std::vector<double> assigned(weights.size());
   for (std::size_t i = 0; i < count; ++i) {
-    std::size_t best = 0;
-    double most = -1e300;
+    std::size_t neediest = 0;
+    double largest_deficit = -1e300;
     for (std::size_t k = 0; k < weights.size(); ++k) {
-      const double due = weights[k] / all * static_cast<double>(i + 1) - given[k];
-      if (weights[k] > 0 && due > most) {
-        most = due, best = k;
+      const double deficit = weights[k] / weight_sum * static_cast<double>(i + 1) - assigned[k];
+      if (weights[k] > 0 && deficit > largest_deficit) {
+        largest_deficit = deficit, neediest = k;
       }
     }
-    given[best] += 1;
-    out.push_back(static_cast<std::uint32_t>(best));
+    assigned[neediest] += 1;
+    result.push_back(static_cast<std::uint32_t>(neediest));
   }
-  return out;
+  return result;
 }
 
-std::size_t part(double share, std::size_t of) {
+std::size_t count_of(double share, std::size_t of) {
   if (share <= 0 || of == 0) {
     return 0;
   }
@@ -39,7 +40,7 @@
       static_cast<std::size_t>(std::lround(share * static_cast<double>(of))), 1, of);
 }
 
-std::vector<std::uint32_t> draw_some(Random& random, std::size_t count, std::size_t of) {
+std::vector<std::uint32_t> draw_indexes(Random& random, std::size_t count, std::size_t of) {
   std::vector<std::uint32_t> all(of);
   for (std::size_t i = 0; i < of; ++i) {
     all[i] = static_cast<std::uint32_t>(i);
@@ -53,7 +54,7 @@
 }  // namespace
 
 FleetTopology draw_topology(const Scenario& s, std::uint64_t seed) {
-  FleetTopology out;
+  FleetTopology result;
   Random network(seed, "network");
   Random load(seed, "load");
   Random order(seed, "kinds");
@@ -67,34 +68,34 @@
     kinds.push_back(k.share);
   }
   const std::size_t zones = s.zones.size();
-  out.delay.assign(zones, std::vector<double>(zones));
+  result.delay.assign(zones, std::vector<double>(zones));
   for (std::size_t a = 0; a < zones; ++a) {
     for (std::size_t b = a; b < zones; ++b) {
-      out.delay[a][b] = out.delay[b][a] =
+      result.delay[a][b] = result.delay[b][a] =
           (a == b ? s.network.same_ms : s.network.cross_ms).draw(network) / 1e3;
     }
   }
-  out.client_delay = s.network.client_ms.draw(network) / 1e3;
-  const auto host_zones = deal(s.hosts.count, zone_hosts);
-  auto host_kinds = deal(s.hosts.count, kinds);
+  result.client_delay = s.network.client_ms.draw(network) / 1e3;
+  const auto host_zones = distribute(s.hosts.count, zone_hosts);
+  auto host_kinds = distribute(s.hosts.count, kinds);
   order.shuffle(host_kinds);
   std::vector<std::uint32_t> in_zone(zones);
   for (unsigned i = 0; i < s.hosts.count; ++i) {
-    Random own(seed, "host", i);
-    HostPlacement place;
-    place.kind = host_kinds[i];
-    place.zone = host_zones[i];
-    place.cell = place.zone * 100000 + in_zone[place.zone]++ / s.hosts.cell_size;
-    place.traits = draw_traits(s, s.hosts.kinds[place.kind], own);
-    out.capacity += place.traits.cores * place.traits.speed;
-    out.hosts.push_back(place);
+    Random random(seed, "host", i);
+    HostPlacement placement;
+    placement.kind = host_kinds[i];
+    placement.zone = host_zones[i];
+    placement.cell = placement.zone * 100000 + in_zone[placement.zone]++ / s.hosts.cell_size;
+    placement.traits = draw_traits(s, s.hosts.kinds[placement.kind], random);
+    result.capacity += placement.traits.cores * placement.traits.speed;
+    result.hosts.push_back(placement);
   }
-  // Gateways stand where the clients are, at least one in each zone that has clients.
-  out.gateway_zones = deal(s.gateways.count, std::vector<double>(zones, 1.0));
-  const double drawn = s.clients.load.draw(load);
-  out.request_rate =
-      s.clients.rate_per_s > 0 ? s.clients.rate_per_s : drawn * rate_for(s, out.capacity);
-  return out;
+  // Gateways are spread evenly over the zones, whatever the zones' share of the traffic.
+  result.gateway_zones = distribute(s.gateways.count, std::vector<double>(zones, 1.0));
+  const double load_share = s.clients.load.draw(load);
+  result.request_rate = s.clients.rate_per_s > 0 ? s.clients.rate_per_s
+                                                 : load_share * saturation_rate(s, result.capacity);
+  return result;
 }
 
 Condition combine(const Condition& a, const Condition& b) {
@@ -109,12 +110,13 @@
 }
 
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): too long
-FaultSchedule schedule_faults(const Scenario& s, const FleetTopology& layout, std::uint64_t seed) {
-  FaultSchedule plan;
-  const std::size_t hosts = layout.hosts.size();
-  const std::size_t gateways = layout.gateway_zones.size();
-  for (std::size_t i = 0; i < s.troubles.size(); ++i) {
-    const TroubleSpec& t = s.troubles[i];
+FaultSchedule schedule_faults(const Scenario& s, const FleetTopology& topology,
+                              std::uint64_t seed) {
+  FaultSchedule schedule;
+  const std::size_t hosts = topology.hosts.size();
+  const std::size_t gateways = topology.gateway_zones.size();
+  for (std::size_t i = 0; i < s.faults.size(); ++i) {
+    const FaultSpec& t = s.faults[i];
     Random random(seed, "trouble", i);
     const Duration from = from_seconds(t.at_s.draw(random));
     const Duration length = from_seconds(t.length_s.draw(random));
@@ -123,68 +125,69 @@
     const double size = t.size.draw(random);
     const double extra = t.extra.draw(random);
     Condition c;
-    std::vector<std::uint32_t> who = draw_some(random, part(share, hosts), hosts);
-    const auto step = [&](Duration at, FaultStepKind kind, std::vector<std::uint32_t> hit,
+    std::vector<std::uint32_t> targets = draw_indexes(random, count_of(share, hosts), hosts);
+    const auto step = [&](Duration at, FaultStepKind kind, std::vector<std::uint32_t> step_targets,
                           double amount = 0) {
-      plan.steps.push_back({at, kind, static_cast<std::uint32_t>(i), std::move(hit), amount});
+      schedule.steps.push_back(
+          {at, kind, static_cast<std::uint32_t>(i), std::move(step_targets), amount});
     };
-    const auto hold = [&] {
-      step(from, FaultStepKind::condition_on, who);
-      step(to, FaultStepKind::condition_off, who);
+    const auto add_condition_steps = [&] {
+      step(from, FaultStepKind::condition_on, targets);
+      step(to, FaultStepKind::condition_off, targets);
     };
     switch (t.kind) {
-      case TroubleKind::slow:
+      case FaultKind::slow:
         c.slowdown = std::max(size, 1.0);
-        hold();
+        add_condition_steps();
         break;
-      case TroubleKind::shared_slow:
+      case FaultKind::shared_slow:
         c.slowdown = std::max(size, 1.0);
-        who = draw_some(random, hosts, hosts);
-        hold();
+        targets = draw_indexes(random, hosts, hosts);
+        add_condition_steps();
         break;
-      case TroubleKind::fast_errors:
+      case FaultKind::fast_errors:
         c.error_share = std::min(size, 1.0);
-        hold();
+        add_condition_steps();
         break;
-      case TroubleKind::neighbour: {
+      case FaultKind::neighbour: {
         c.stolen_share = std::min(size, 0.95);
-        bool on = true;
-        const Duration each = from_seconds(std::max(extra, 0.05));
-        for (Duration at = from; at < to; at += each, on = !on) {
-          step(at, on ? FaultStepKind::condition_on : FaultStepKind::condition_off, who);
+        bool active = true;
+        const Duration half_period = from_seconds(std::max(extra, 0.05));
+        for (Duration at = from; at < to; at += half_period, active = !active) {
+          step(at, active ? FaultStepKind::condition_on : FaultStepKind::condition_off, targets);
         }
-        if (!on) {
-          step(to, FaultStepKind::condition_off, who);
+        if (!active) {
+          step(to, FaultStepKind::condition_off, targets);
         }
         break;
       }
-      case TroubleKind::reset:
+      case FaultKind::reset:
         c.reset_share = std::min(size, 1.0);
-        hold();
+        add_condition_steps();
         break;
-      case TroubleKind::spoilt:
+      case FaultKind::spoilt:
         c.malformed_share = std::min(size, 1.0);
-        hold();
+        add_condition_steps();
         break;
-      case TroubleKind::slow_peers:
+      case FaultKind::slow_peers:
         c.response_delay = from_seconds(extra);
-        hold();
+        add_condition_steps();
         break;
-      case TroubleKind::stale_list:
+      case FaultKind::stale_list:
         step(from, FaultStepKind::list_delay_increase, {}, size);
         step(to, FaultStepKind::list_delay_decrease, {}, size);
-        who.clear();
+        targets.clear();
         break;
-      case TroubleKind::discovery_down:
+      case FaultKind::discovery_down:
         step(from, FaultStepKind::discovery_down, {});
         step(to, FaultStepKind::discovery_up, {});
-        who.clear();
+        targets.clear();
         break;
-      case TroubleKind::gateway_roll: {
-        who = draw_some(random, part(share, gateways), gateways);
-        std::vector<std::uint32_t> order = who;
+      case FaultKind::gateway_roll: {
+        targets = draw_indexes(random, count_of(share, gateways), gateways);
+        std::vector<std::uint32_t> order = targets;
         random.shuffle(order);
-        const std::size_t batch = part(std::min(size, 1.0), gateways);
+        const std::size_t batch = count_of(std::min(size, 1.0), gateways);
         const std::size_t batches = order.empty() ? 0 : (order.size() + batch - 1) / batch;
         for (std::size_t b = 0; b < batches; ++b) {
           const Duration at =
@@ -197,62 +200,63 @@
         }
         break;
       }
-      case TroubleKind::drain:
-        step(from, FaultStepKind::host_drain, who);
-        step(std::min(from + from_seconds(extra), to), FaultStepKind::host_stop, who);
-        step(to, FaultStepKind::host_start, who);
+      case FaultKind::drain:
+        step(from, FaultStepKind::host_drain, targets);
+        step(std::min(from + from_seconds(extra), to), FaultStepKind::host_stop, targets);
+        step(to, FaultStepKind::host_start, targets);
         break;
-      case TroubleKind::replace:
-        // One after the other over the whole length, as a release does it.
-        for (std::size_t k = 0; k < who.size(); ++k) {
+      case FaultKind::replace:
+        // Replaced one by one over the fault's length, as in a rolling release.
+        for (std::size_t k = 0; k < targets.size(); ++k) {
           const Duration at = from + Duration(length.count() * static_cast<long>(k) /
-                                              static_cast<long>(who.size()));
-          step(at, FaultStepKind::host_stop, {who[k]});
-          step(at + from_seconds(extra), FaultStepKind::host_add, {who[k]});
+                                              static_cast<long>(targets.size()));
+          step(at, FaultStepKind::host_stop, {targets[k]});
+          step(at + from_seconds(extra), FaultStepKind::host_add, {targets[k]});
         }
         break;
-      case TroubleKind::restart:
-        step(from, FaultStepKind::host_stop, who);
-        step(from + from_seconds(extra), FaultStepKind::host_start, who);
+      case FaultKind::restart:
+        step(from, FaultStepKind::host_stop, targets);
+        step(from + from_seconds(extra), FaultStepKind::host_start, targets);
         break;
-      case TroubleKind::zone_loss: {
+      case FaultKind::zone_loss: {
         auto zone = static_cast<std::uint32_t>(random.below(s.zones.size()));
         for (std::size_t z = 0; z < s.zones.size(); ++z) {
           if (s.zones[z].name == t.zone) {
             zone = static_cast<std::uint32_t>(z);
           }
         }
-        who.clear();
+        targets.clear();
         std::vector<std::uint32_t> in_zone;
         for (std::size_t h = 0; h < hosts; ++h) {
-          if (layout.hosts[h].zone == zone) {
-            who.push_back(static_cast<std::uint32_t>(h));
+          if (topology.hosts[h].zone == zone) {
+            targets.push_back(static_cast<std::uint32_t>(h));
           }
         }
         for (std::size_t g = 0; g < gateways; ++g) {
-          if (layout.gateway_zones[g] == zone) {
+          if (topology.gateway_zones[g] == zone) {
             in_zone.push_back(static_cast<std::uint32_t>(g));
           }
         }
-        step(from, FaultStepKind::host_unreachable, who);
+        step(from, FaultStepKind::host_unreachable, targets);
         step(from, FaultStepKind::gateway_stop, in_zone);
-        step(to, FaultStepKind::host_stop, who);  // power comes back: everything starts anew
-        step(to, FaultStepKind::host_reachable, who);
-        step(to, FaultStepKind::host_start, who);
+        // The zone is back: its processes start again, cold.
+        step(to, FaultStepKind::host_stop, targets);
+        step(to, FaultStepKind::host_reachable, targets);
+        step(to, FaultStepKind::host_start, targets);
         step(to, FaultStepKind::gateway_start, in_zone);
         break;
       }
-      case TroubleKind::silent_cut:
-        step(from, FaultStepKind::host_unreachable, who);
-        step(to, FaultStepKind::host_reachable, who);
+      case FaultKind::silent_cut:
+        step(from, FaultStepKind::host_unreachable, targets);
+        step(to, FaultStepKind::host_reachable, targets);
         break;
     }
-    plan.conditions.push_back(c);
-    plan.intervals.push_back({std::string(name_of(t.kind)), from, to, who.size()});
+    schedule.conditions.push_back(c);
+    schedule.intervals.push_back({std::string(name_of(t.kind)), from, to, targets.size()});
   }
-  std::stable_sort(plan.steps.begin(), plan.steps.end(),
+  std::stable_sort(schedule.steps.begin(), schedule.steps.end(),
                    [](const FaultStep& a, const FaultStep& b) { return a.at < b.at; });
-  return plan;
+  return schedule;
 }
 
 }  // namespace gateway::lab
--- a/src/lab/model/fleet_topology.hpp
+++ b/src/lab/model/fleet_topology.hpp
@@ -1,5 +1,5 @@
-// Who stands where: the hosts and gateways of one day, drawn from a scenario by a seed, and what
-// troubles do to them, as a list of steps. Pure; both clocks carry out the same steps.
+// The hosts and gateways of one run, drawn from a scenario by a seed, and the scenario's faults as
+// a schedule of steps. Pure functions; the simulation and the live run carry out the same steps.
 #pragma once
 
 #include <cstdint>
@@ -19,54 +19,55 @@
 struct FleetTopology {
   std::vector<HostPlacement> hosts;
   std::vector<std::uint32_t> gateway_zones;
-  // One way between zones, seconds in the mean; and between client and gateway.
+  // Mean network delay in one direction, in seconds: between zones; between client and gateway.
   std::vector<std::vector<double>> delay;
   double client_delay = 0;
-  double capacity = 0;      // work a second of all hosts, warm
-  double request_rate = 0;  // first tries a second
+  double capacity = 0;      // seconds of work per second, of all hosts when warm
+  double request_rate = 0;  // operations per second
 };
 FleetTopology draw_topology(const Scenario& scenario, std::uint64_t seed);
 
 enum class FaultStepKind {
-  condition_on,  // `trouble` holds for `hosts` from now on
+  condition_on,  // `fault` affects `targets` from now on
   condition_off,
-  host_stop,         // the process ends
-  host_start,        // it starts, cold
-  host_add,          // a new host, like `hosts[0]`, starts cold under the next number
-  host_drain,        // discovery learns that it drains
-  host_unreachable,  // it vanishes without a word
+  host_stop,         // its process ends
+  host_start,        // its process starts, cold
+  host_add,          // a host like `targets[0]` starts cold under the next index
+  host_drain,        // the host list shows it as draining, after discovery's delay
+  host_unreachable,  // packets to and from it are lost; connections stay open
   host_reachable,
   gateway_stop,
   gateway_start,
-  list_delay_increase,  // the list falls `amount` s further behind
+  list_delay_increase,  // changes reach the host list `amount` s later
   list_delay_decrease,
   discovery_down,
   discovery_up
 };
 
 struct FaultStep {
-  Duration at{};  // since the clients began
+  Duration at{};  // since the clients' first request
   FaultStepKind kind = FaultStepKind::condition_on;
   std::uint32_t fault = 0;
-  std::vector<std::uint32_t> targets;  // hosts or gateways
+  std::vector<std::uint32_t> targets;  // hosts or gateways, by index
   double amount = 0;
 };
 
-struct FaultInterval {  // for the report
+// When a fault was active, for the report.
+struct FaultInterval {
   std::string name;
   Duration from{}, to{};
-  std::size_t hits = 0;  // hosts or gateways
+  std::size_t hits = 0;  // affected hosts or gateways
 };
 
 struct FaultSchedule {
   std::vector<FaultStep> steps;  // in order of time
   std::vector<FaultInterval> intervals;
-  std::vector<Condition> conditions;  // by trouble: what it makes of one host
+  std::vector<Condition> conditions;  // by fault: its effect on one host
 };
-FaultSchedule schedule_faults(const Scenario& scenario, const FleetTopology& layout,
+FaultSchedule schedule_faults(const Scenario& scenario, const FleetTopology& topology,
                               std::uint64_t seed);
 
-// Several conditions at one host.
+// The joint effect of two conditions on one host.
 Condition combine(const Condition& a, const Condition& b);
 
 }  // namespace gateway::lab
--- a/src/lab/model/policy.hpp
+++ b/src/lab/model/policy.hpp
@@ -1,4 +1,5 @@
-// What an experiment measures: the decision module, or in tests one that breaks a rule on purpose.
+// The decision logic of a simulated gateway: the balancer, or in tests a policy that breaks a rule
+// on purpose.
 #pragma once
 
 #include <functional>
--- a/src/lab/model/random.hpp
+++ b/src/lab/model/random.hpp
@@ -19,8 +19,7 @@
 
 namespace gateway::lab {
 
-// A stream for one purpose. Streams of other purposes or indexes do not move when this one draws
-// more.
+// A stream for one purpose and index. Draws from it do not change the values of other streams.
 class Random {
  public:
   Random(std::uint64_t seed, std::string_view purpose, std::uint64_t index = 0)
--- a/src/lab/model/traffic.hpp
+++ b/src/lab/model/traffic.hpp
@@ -1,4 +1,5 @@
-// Clients' first tries: an open-loop schedule that waits for no answer, so a stall hides nothing.
+// First requests of the clients' operations, as an open-loop schedule: arrivals do not wait for
+// responses, so a stall of the system does not reduce the offered load.
 #pragma once
 
 #include <cstdint>
@@ -9,6 +10,7 @@
 
 namespace gateway::lab {
 
+// First request of an operation.
 struct Arrival {
   Time at{};  // when it is due
   std::uint32_t zone = 0, cls = 0;
@@ -18,23 +20,22 @@
 
 class Traffic {
  public:
-  // `rate`: first tries a second in the mean.
+  // `rate`: mean number of operations per second.
   Traffic(const Scenario& scenario, std::uint64_t seed, double rate, Time start);
-  bool next(Arrival& into);  // false: the day is over
+  bool next(Arrival& arrival);  // false: the scenario's length is over
 
  private:
   const Scenario& scenario_;
-  Random arrivals_, what_;
+  Random arrivals_, attributes_;
   std::uint64_t seed_;
-  double rate_, length_;
+  double mean_rate_, length_s_;
   Time start_;
-  double at_ = 0;
+  double elapsed_s_ = 0;
   Weighted zones_, classes_, keys_;
   std::vector<double> mean_work_, variation_;
 };
 
-// First tries a second that all warm hosts of the scenario can just do, with `capacity` work a
-// second.
-double rate_for(const Scenario& scenario, double capacity);
+// Operations per second that use `capacity` (seconds of work per second) completely.
+double saturation_rate(const Scenario& scenario, double capacity);
 
 }  // namespace gateway::lab
--- a/src/lab/scenario/fields.hpp
+++ b/src/lab/scenario/fields.hpp
@@ -1,5 +1,5 @@
-// A section of a scenario file, told once in a table: name, unit, bounds and meaning of each field.
-// Reading, checking and the printed reference all come from it.
+// Tables that describe the fields of a scenario file's section: name, unit, bounds and meaning.
+// Reading, checking and the printed reference are derived from them.
 #pragma once
 
 #include <cstddef>
@@ -13,30 +13,30 @@
 
 namespace gateway::lab {
 
-// A figure that each seed draws anew; one value where both ends are the same.
+// A number that is drawn anew for each seed, uniformly; fixed if both ends are equal.
 struct Range {
   double low = 0, high = 0;
   Range() = default;
-  Range(double both) : low(both), high(both) {}
+  Range(double value) : low(value), high(value) {}
   Range(double l, double h) : low(l), high(h) {}
   double draw(Random& random) const { return random.between(low, high); }
   double middle() const { return (low + high) / 2; }
 };
 
 struct ValidationError {
-  std::string where, what;  // path of the field; what is wrong and what would be right
+  std::string where, what;  // path of the field; what is wrong and what is accepted
 };
 
 template <class T>
 struct Field {
   const char* name;
   const char* unit;
-  double least, most;  // bounds of numbers; of texts not used
+  double least, most;  // bounds of a number; unused for texts and booleans
   const char* about;
   std::variant<double T::*, Range T::*, unsigned T::*, std::string T::*, bool T::*> member;
 };
 
-// Text of a number without needless digits.
+// Text of a number with up to 12 significant digits, without trailing zeros.
 std::string format_number(double value);
 
 namespace detail {
@@ -44,9 +44,9 @@
                  double& into, std::string& mistake);
 }
 
-// Takes what `object` holds into `into`. Fields that are missing keep their values; an unknown one,
-// a wrong type and a figure out of bounds are each one mistake. `others`: names of parts that are
-// read elsewhere.
+// Reads the fields of `object` into `into`. Missing fields keep their values; each unknown field,
+// wrong type and number out of bounds adds one mistake. `others`: names of sections that are read
+// elsewhere.
 template <class T>
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): too long
 void read_fields(const nlohmann::json& object, const std::vector<Field<T>>& table,
@@ -129,7 +129,7 @@
   }
 }
 
-// One row of the reference: section, field, unit, bounds, default, meaning; set apart by tabs.
+// One row of the printed reference.
 struct FieldRow {
   std::string section, name, unit, bounds, default_value, about;
 };
@@ -137,13 +137,13 @@
 template <class T>
 void describe_fields(const std::string& section, const std::vector<Field<T>>& table,
                      std::vector<FieldRow>& rows) {
-  static const T kStandard{};
+  static const T kDefault{};
   for (const Field<T>& f : table) {
     FieldRow row{section, f.name, f.unit, format_number(f.least) + " to " + format_number(f.most),
                  "",      f.about};
     std::visit(
         [&](auto member) {
-          const auto& value = kStandard.*member;
+          const auto& value = kDefault.*member;
           using Value = std::decay_t<decltype(value)>;
           if constexpr (std::is_same_v<Value, std::string>) {
             row.bounds = "text", row.default_value = value;
--- a/src/lab/scenario/scenario.cpp
+++ b/src/lab/scenario/scenario.cpp
@@ -12,155 +12,161 @@
 
 using nlohmann::json;
 
-constexpr std::array<std::string_view, 15> kTroubleNames{
+constexpr std::array<std::string_view, 15> kFaultNames{
     "slow",         "fast_errors", "neighbour", "stale_list", "discovery_down",
     "gateway_roll", "shared_slow", "drain",     "replace",    "restart",
     "zone_loss",    "silent_cut",  "reset",     "spoilt",     "slow_peers"};
 
-using Zone = ZoneSpec;
-const std::vector<Field<Zone>> kZone{
-    {"name", "", 0, 0, "a name, used once", &Zone::name},
-    {"traffic", "share", 0, 1e6, "of the first tries, against the other zones", &Zone::traffic},
-    {"hosts", "share", 0, 1e6, "of the hosts, against the other zones", &Zone::hosts}};
-
-using Net = NetworkSpec;
-const std::vector<Field<Net>> kNetwork{
-    {"same_ms", "ms", 0.001, 1000, "one way within a zone", &Net::same_ms},
-    {"cross_ms", "ms", 0.001, 1000, "one way between zones", &Net::cross_ms},
-    {"client_ms", "ms", 0.001, 1000, "one way between client and gateway", &Net::client_ms},
-    {"jitter", "share", 0, 2, "standard deviation of each, as a share of its mean", &Net::jitter}};
-
-using Gates = GatewaysSpec;
-const std::vector<Field<Gates>> kGateways{
-    {"count", "", 1, 1000, "gateways, dealt over the zones", &Gates::count},
-    {"notice_s", "s", 0, 60, "until the front notices a dead gateway", &Gates::failure_detection_s},
-    {"heavy", "", 0, 1000, "so many, the first, are given more of the traffic", &Gates::heavy},
-    {"heavy_times", "times", 0.01, 1000, "what one of the others gets", &Gates::heavy_times}};
-
-using Kind = KindSpec;
-const std::vector<Field<Kind>> kKind{
-    {"name", "", 0, 0, "name of the machine kind", &Kind::name},
-    {"share", "share", 0, 1e6, "of the hosts, against the other kinds", &Kind::share},
-    {"cores", "", 1, 1024, "cores", &Kind::cores},
-    {"speed", "yardsticks", 0.01, 100, "of one core", &Kind::speed},
-    {"slots_per_core", "requests", 1, 10000, "in work at most", &Kind::slots_per_core},
-    {"queue_per_core", "requests", 0, 10000, "in the waiting room at most", &Kind::queue_per_core},
+const std::vector<Field<ZoneSpec>> kZone{
+    {"name", "", 0, 0, "a name, used once", &ZoneSpec::name},
+    {"traffic", "share", 0, 1e6, "of the first tries, against the other zones", &ZoneSpec::traffic},
+    {"hosts", "share", 0, 1e6, "of the hosts, against the other zones", &ZoneSpec::hosts}};
+
+const std::vector<Field<NetworkSpec>> kNetwork{
+    {"same_ms", "ms", 0.001, 1000, "one way within a zone", &NetworkSpec::same_ms},
+    {"cross_ms", "ms", 0.001, 1000, "one way between zones", &NetworkSpec::cross_ms},
+    {"client_ms", "ms", 0.001, 1000, "one way between client and gateway", &NetworkSpec::client_ms},
+    {"jitter", "share", 0, 2, "standard deviation of each, as a share of its mean",
+     &NetworkSpec::jitter}};
+
+const std::vector<Field<GatewaysSpec>> kGateways{
+    {"count", "", 1, 1000, "gateways, dealt over the zones", &GatewaysSpec::count},
+    {"notice_s", "s", 0, 60, "until the front notices a dead gateway",
+     &GatewaysSpec::failure_detection_s},
+    {"heavy", "", 0, 1000, "so many, the first, are given more of the traffic",
+     &GatewaysSpec::heavy_count},
+    {"heavy_times", "times", 0.01, 1000, "what one of the others gets",
+     &GatewaysSpec::heavy_factor}};
+
+const std::vector<Field<KindSpec>> kKind{
+    {"name", "", 0, 0, "name of the machine kind", &KindSpec::name},
+    {"share", "share", 0, 1e6, "of the hosts, against the other kinds", &KindSpec::share},
+    {"cores", "", 1, 1024, "cores", &KindSpec::cores},
+    {"speed", "yardsticks", 0.01, 100, "of one core", &KindSpec::speed},
+    {"slots_per_core", "requests", 1, 10000, "in work at most", &KindSpec::slots_per_core},
+    {"queue_per_core", "requests", 0, 10000, "in the waiting room at most",
+     &KindSpec::queue_per_core},
     {"thrash", "share", 0, 10, "efficiency lost for each request a core above thrash_at",
-     &Kind::thrash},
-    {"thrash_at", "requests a core", 1, 10000, "where efficiency begins to fall", &Kind::thrash_at},
-    {"cold_share", "share", 0.01, 1, "of its capacity at its start", &Kind::cold_share},
-    {"cold_s", "s", 0, 600, "until it is warm", &Kind::cold_s},
-    {"error_rate", "share", 0, 1, "of the answers that fail at any time", &Kind::error_rate}};
-
-using Crowd = CrowdingSpec;
-const std::vector<Field<Crowd>> kCrowding{
-    {"on", "", 0, 0, "lasting slowness after crowding", &Crowd::on},
+     &KindSpec::thrash},
+    {"thrash_at", "requests a core", 1, 10000, "where efficiency begins to fall",
+     &KindSpec::thrash_at},
+    {"cold_share", "share", 0.01, 1, "of its capacity at its start", &KindSpec::cold_share},
+    {"cold_s", "s", 0, 600, "until it is warm", &KindSpec::cold_s},
+    {"error_rate", "share", 0, 1, "of the answers that fail at any time", &KindSpec::error_rate}};
+
+const std::vector<Field<CrowdingSpec>> kCrowding{
+    {"on", "", 0, 0, "lasting slowness after crowding", &CrowdingSpec::on},
     {"holds_per_core", "requests a core", 1, 1000, "more held than this crowds a host",
-     &Crowd::holds_per_core},
-    {"for_s", "s", 0.1, 60, "for so long", &Crowd::for_s},
-    {"slower", "times", 1, 100, "so much slower it turns", &Crowd::slower},
+     &CrowdingSpec::threshold_per_core},
+    {"for_s", "s", 0.1, 60, "for so long", &CrowdingSpec::delay_s},
+    {"slower", "times", 1, 100, "so much slower it turns", &CrowdingSpec::slowdown},
     {"below_per_core", "requests a core", 0, 1000, "mostly idle: fewer held than this",
-     &Crowd::below_per_core},
-    {"rest_s", "s", 0, 600, "until it has been mostly idle for so long,", &Crowd::rest_s},
-    {"most_s", "s", 0, 3600, "or so long in all", &Crowd::most_s}};
-
-using Warm = WarmSpec;
-const std::vector<Field<Warm>> kWarm{
-    {"on", "", 0, 0, "a key met lately costs less", &Warm::on},
-    {"gain", "share", 0, 0.99, "of the work that is saved", &Warm::gain},
-    {"for_s", "s", 0, 3600, "for so long after the key was met", &Warm::for_s},
-    {"keys_per_core", "keys", 0, 1e6, "remembered at most", &Warm::keys_per_core}};
-
-using Conn = ConnectionSpec;
-const std::vector<Field<Conn>> kConnections{
-    {"handshake_trips", "round trips", 0, 20, "for a new connection", &Conn::handshake_trips},
-    {"handshake_us", "us", 0, 1e6, "of the host's work for a new connection", &Conn::handshake_us},
+     &CrowdingSpec::recovery_threshold_per_core},
+    {"rest_s", "s", 0, 600, "until it has been mostly idle for so long,",
+     &CrowdingSpec::recovery_s},
+    {"most_s", "s", 0, 3600, "or so long in all", &CrowdingSpec::max_slow_s}};
+
+const std::vector<Field<WarmSpec>> kWarm{
+    {"on", "", 0, 0, "a key met lately costs less", &WarmSpec::on},
+    {"gain", "share", 0, 0.99, "of the work that is saved", &WarmSpec::saving},
+    {"for_s", "s", 0, 3600, "for so long after the key was met", &WarmSpec::ttl_s},
+    {"keys_per_core", "keys", 0, 1e6, "remembered at most", &WarmSpec::keys_per_core}};
+
+const std::vector<Field<ConnectionSpec>> kConnections{
+    {"handshake_trips", "round trips", 0, 20, "for a new connection",
+     &ConnectionSpec::handshake_trips},
+    {"handshake_us", "us", 0, 1e6, "of the host's work for a new connection",
+     &ConnectionSpec::handshake_us},
     {"idle_close_s", "s", 0.1, 3600, "the host's machine closes an idle one after this",
-     &Conn::idle_close_s},
-    {"timeout_ms", "ms", 1, 60000, "one that is not up by then has failed", &Conn::timeout_ms},
-    {"cap_per_core", "connections", 1, 1e6, "held by a host at most", &Conn::cap_per_core},
-    {"full_tax", "share", 0, 0.95, "of the capacity that a full table takes", &Conn::full_tax}};
-
-using Report = ReportSpec;
-const std::vector<Field<Report>> kReport{
-    {"period_ms", "ms", 1, 60000, "between two load reports of a host", &Report::period_ms},
-    {"delay_ms", "ms", 0, 60000, "until an answer carries it", &Report::delay_ms},
-    {"noise", "share", 0, 1, "standard deviation, as a share of the value", &Report::noise}};
-
-using Hosts = HostsSpec;
-const std::vector<Field<Hosts>> kHosts{
-    {"count", "", 1, 100000, "hosts at the start", &Hosts::count},
-    {"cell_size", "hosts", 1, 100000, "hosts of one cell", &Hosts::cell_size},
-    {"start", "", 0, 0, R"("warm", or "cold": all were restarted just before)", &Hosts::start}};
-
-using Clients = ClientsSpec;
-const std::vector<Field<Clients>> kClients{
+     &ConnectionSpec::idle_close_s},
+    {"timeout_ms", "ms", 1, 60000, "one that is not up by then has failed",
+     &ConnectionSpec::timeout_ms},
+    {"cap_per_core", "connections", 1, 1e6, "held by a host at most",
+     &ConnectionSpec::cap_per_core},
+    {"full_tax", "share", 0, 0.95, "of the capacity that a full table takes",
+     &ConnectionSpec::full_tax}};
+
+const std::vector<Field<ReportSpec>> kReport{
+    {"period_ms", "ms", 1, 60000, "between two load reports of a host", &ReportSpec::period_ms},
+    {"delay_ms", "ms", 0, 60000, "until an answer carries it", &ReportSpec::delay_ms},
+    {"noise", "share", 0, 1, "standard deviation, as a share of the value", &ReportSpec::noise}};
+
+const std::vector<Field<HostsSpec>> kHosts{
+    {"count", "", 1, 100000, "hosts at the start", &HostsSpec::count},
+    {"cell_size", "hosts", 1, 100000, "hosts of one cell", &HostsSpec::cell_size},
+    {"start", "", 0, 0, R"("warm", or "cold": all were restarted just before)", &HostsSpec::start}};
+
+const std::vector<Field<ClientsSpec>> kClients{
     {"load", "share", 0, 10, "first tries, as a share of what all warm hosts can do",
-     &Clients::load},
-    {"rate_per_s", "requests/s", 0, 1e6, "first tries; 0: taken from load", &Clients::rate_per_s},
-    {"swing", "share", 0, 1, "by which the rate swings, once over the run", &Clients::swing},
-    {"keys", "", 1, 1e7, "distinct keys", &Clients::keys},
-    {"key_skew", "", 0, 4, "Zipf exponent of their popularity", &Clients::key_skew},
-    {"retries", "", 0, 10, "of a client at most", &Clients::retries},
-    {"try_share", "share", 0.05, 1, "of the class's total wait for one try", &Clients::try_share},
+     &ClientsSpec::load},
+    {"rate_per_s", "requests/s", 0, 1e6, "first tries; 0: taken from load",
+     &ClientsSpec::rate_per_s},
+    {"swing", "share", 0, 1, "by which the rate swings, once over the run", &ClientsSpec::swing},
+    {"keys", "", 1, 1e7, "distinct keys", &ClientsSpec::keys},
+    {"key_skew", "", 0, 4, "Zipf exponent of their popularity", &ClientsSpec::key_skew},
+    {"retries", "", 0, 10, "of a client at most", &ClientsSpec::retries},
+    {"try_share", "share", 0.05, 1, "of the class's total wait for one try",
+     &ClientsSpec::timeout_share},
     {"backoff_ms", "ms", 0, 60000, "wait before the first retry, then doubled",
-     &Clients::backoff_ms},
-    {"honour", "share", 0, 1, "of the clients heed Retry-After", &Clients::honour},
-    {"impatient", "share", 0, 1, "of the tries whose client leaves early", &Clients::impatient}};
-
-using Class = ClassSpec;
-const std::vector<Field<Class>> kClass{
-    {"name", "", 0, 0, "name of the class, used once", &Class::name},
-    {"share", "share", 0, 1e6, "of the requests, against the other classes", &Class::share},
-    {"work_ms", "ms", 0.001, 1e6, "mean work on a core of speed 1", &Class::work_ms},
-    {"variation", "", 0, 10, "coefficient of variation of the work", &Class::variation},
-    {"aim_ms", "ms", 1, 1e6, "full worth up to here", &Class::latency_objective_ms},
-    {"give_up_ms", "ms", 1, 1e6, "the client's total wait", &Class::client_timeout_ms},
-    {"worth", "points", 0, 1e6, "for each unit of work", &Class::priority_weight},
-    {"late_share", "share", 0, 1, "of the worth after the aim", &Class::late_value_fraction},
-    {"effect", "", 0, 0, R"("retryable", "dedup" or "fragile")", &Class::idempotency},
+     &ClientsSpec::backoff_ms},
+    {"honour", "share", 0, 1, "of the clients heed Retry-After",
+     &ClientsSpec::retry_after_compliance},
+    {"impatient", "share", 0, 1, "of the tries whose client leaves early",
+     &ClientsSpec::early_disconnect_share}};
+
+const std::vector<Field<ClassSpec>> kClass{
+    {"name", "", 0, 0, "name of the class, used once", &ClassSpec::name},
+    {"share", "share", 0, 1e6, "of the requests, against the other classes", &ClassSpec::share},
+    {"work_ms", "ms", 0.001, 1e6, "mean work on a core of speed 1", &ClassSpec::work_ms},
+    {"variation", "", 0, 10, "coefficient of variation of the work", &ClassSpec::variation},
+    {"aim_ms", "ms", 1, 1e6, "full worth up to here", &ClassSpec::latency_objective_ms},
+    {"give_up_ms", "ms", 1, 1e6, "the client's total wait", &ClassSpec::client_timeout_ms},
+    {"worth", "points", 0, 1e6, "for each unit of work", &ClassSpec::priority_weight},
+    {"late_share", "share", 0, 1, "of the worth after the aim", &ClassSpec::late_value_fraction},
+    {"effect", "", 0, 0, R"("retryable", "dedup" or "fragile")", &ClassSpec::idempotency},
     {"group", "", 0, 0, R"(dedup: hosts that drop repeats together: "all", "zone" or "cell")",
-     &Class::deduplication_scope},
+     &ClassSpec::deduplication_scope},
     {"window_ms", "ms", 0, 1e6, "dedup: how long repeats are dropped",
-     &Class::deduplication_window_ms}};
+     &ClassSpec::deduplication_window_ms}};
 
-using Disc = DiscoverySpec;
-const std::vector<Field<Disc>> kDiscovery{
+const std::vector<Field<DiscoverySpec>> kDiscovery{
     {"notice_s", "s", 0, 60, "until the list knows that a host is gone or drains",
-     &Disc::removal_delay_s},
+     &DiscoverySpec::removal_delay_s},
     {"add_s", "s", 0, 60, "until the list knows a new host or a new start",
-     &Disc::addition_delay_s},
-    {"spread_ms", "ms", 0, 60000, "from the list to a gateway that watches", &Disc::spread_ms},
-    {"call_ms", "ms", 0, 10000, "discovery's work for one call", &Disc::call_ms},
-    {"line_us", "us", 0, 1e6, "discovery's work for one line of an answer", &Disc::line_us},
-    {"timeout_ms", "ms", 1, 60000, "a call that waits longer fails with 503", &Disc::timeout_ms}};
-
-using Rules = RulesSpec;
-const std::vector<Field<Rules>> kRules{
+     &DiscoverySpec::addition_delay_s},
+    {"spread_ms", "ms", 0, 60000, "from the list to a gateway that watches",
+     &DiscoverySpec::spread_ms},
+    {"call_ms", "ms", 0, 10000, "discovery's work for one call", &DiscoverySpec::call_ms},
+    {"line_us", "us", 0, 1e6, "discovery's work for one line of an answer",
+     &DiscoverySpec::line_us},
+    {"timeout_ms", "ms", 1, 60000, "a call that waits longer fails with 503",
+     &DiscoverySpec::timeout_ms}};
+
+const std::vector<Field<RulesSpec>> kRules{
     {"answer_slack_ms", "ms", 0, 10000,
-     "after the client's time in which an answer still counts as given", &Rules::response_slack_ms},
+     "after the client's time in which an answer still counts as given",
+     &RulesSpec::response_slack_ms},
     {"drain_grace_ms", "ms", 0, 60000, "after which nothing new goes to a drained host",
-     &Rules::drain_grace_ms},
+     &RulesSpec::drain_grace_ms},
     {"fall_multiple", "times", 1, 100, "of its capacity fells a cold host",
-     &Rules::collapse_load_factor},
-    {"fall_ms", "ms", 10, 60000, "window over which that is counted", &Rules::collapse_window_ms},
+     &RulesSpec::collapse_load_factor},
+    {"fall_ms", "ms", 10, 60000, "window over which that is counted",
+     &RulesSpec::collapse_window_ms},
     {"fall_slack_ms", "ms", 0, 60000, "of work that the window bears beyond it",
-     &Rules::collapse_slack_ms},
+     &RulesSpec::collapse_slack_ms},
     {"held_back_ms", "ms", 1, 60000, "with nothing under way, before a refusal counts as held back",
-     &Rules::max_rejection_delay_ms}};
+     &RulesSpec::max_rejection_delay_ms}};
 
-using Limits = LimitsSpec;
-const std::vector<Field<Limits>> kLimits{
-    {"max_attempts", "", 1, 8, "of the gateway for one request", &Limits::max_attempts},
+const std::vector<Field<LimitsSpec>> kLimits{
+    {"max_attempts", "", 1, 8, "of the gateway for one request", &LimitsSpec::max_attempts},
     {"max_retry_after_ms", "ms", 0, 60000, "longest wait that clients heed",
-     &Limits::max_retry_after_ms},
-    {"cancel", "", 0, 0, "attempts may be cancelled", &Limits::cancel},
+     &LimitsSpec::max_retry_after_ms},
+    {"cancel", "", 0, 0, "attempts may be cancelled", &LimitsSpec::cancel},
     {"second_copies", "", 0, 0, "a second attempt may be out beside the first",
-     &Limits::second_copies},
-    {"retry_after", "", 0, 0, "refusals may say when to come back", &Limits::retry_after}};
+     &LimitsSpec::hedging},
+    {"retry_after", "", 0, 0, "refusals may say when to come back", &LimitsSpec::retry_after}};
 
-using Trouble = TroubleSpec;
-const std::vector<Field<Trouble>> kTrouble{
+const std::vector<Field<FaultSpec>> kFault{
     {"kind", "", 0, 0,
      "slow (size: times), fast_errors (size: share failing), neighbour (size: share of the machine "
      "taken; "
@@ -176,13 +182,13 @@
      "share of the attempts), spoilt (size: share of the answers), slow_peers (extra: s by which "
      "answers "
      "trickle)",
-     &Trouble::kind_name},
-    {"at_s", "s", 0, 86400, "when it begins", &Trouble::at_s},
-    {"length_s", "s", 0, 86400, "how long it lasts", &Trouble::length_s},
-    {"part", "share", 0, 1, "of the hosts or gateways that it meets", &Trouble::part},
-    {"size", "", 0, 1000, "how bad; the unit depends on the kind", &Trouble::size},
-    {"extra", "s", 0, 600, "a further time; see kind", &Trouble::extra},
-    {"zone", "", 0, 0, "zone_loss: the zone; empty: one is drawn", &Trouble::zone}};
+     &FaultSpec::kind_name},
+    {"at_s", "s", 0, 86400, "when it begins", &FaultSpec::at_s},
+    {"length_s", "s", 0, 86400, "how long it lasts", &FaultSpec::length_s},
+    {"part", "share", 0, 1, "of the hosts or gateways that it meets", &FaultSpec::part},
+    {"size", "", 0, 1000, "how bad; the unit depends on the kind", &FaultSpec::size},
+    {"extra", "s", 0, 600, "a further time; see kind", &FaultSpec::extra},
+    {"zone", "", 0, 0, "zone_loss: the zone; empty: one is drawn", &FaultSpec::zone}};
 
 const std::vector<Field<Scenario>> kScenario{
     {"name", "", 0, 0, "name of the scenario", &Scenario::name},
@@ -190,18 +196,18 @@
     {"length_s", "s", 1, 86400, "time in which clients send", &Scenario::length_s}};
 
 template <class T>
-void part(const json& object, const char* name, const std::vector<Field<T>>& table,
-          const std::string& path, T& into, std::vector<ValidationError>& mistakes,
-          const std::vector<std::string>& others = {}) {
+void read_section(const json& object, const char* name, const std::vector<Field<T>>& table,
+                  const std::string& path, T& into, std::vector<ValidationError>& mistakes,
+                  const std::vector<std::string>& others = {}) {
   if (const auto it = object.find(name); it != object.end()) {
     read_fields(*it, table, others, path + name, into, mistakes);
   }
 }
 
 template <class T, class Each>
-void list(const json& object, const char* name, const std::vector<Field<T>>& table,
-          const std::string& path, bool may_be_empty, std::vector<T>& into,
-          std::vector<ValidationError>& mistakes, Each each) {
+void read_list(const json& object, const char* name, const std::vector<Field<T>>& table,
+               const std::string& path, bool may_be_empty, std::vector<T>& into,
+               std::vector<ValidationError>& mistakes, Each check_entry) {
   const auto it = object.find(name);
   if (it == object.end()) {
     return;
@@ -213,27 +219,27 @@
   }
   into.clear();
   for (std::size_t i = 0; i < it->size(); ++i) {
-    const std::string here = path + name + "[" + std::to_string(i) + "]";
+    const std::string entry_path = path + name + "[" + std::to_string(i) + "]";
     into.emplace_back();
-    read_fields((*it)[i], table, {}, here, into.back(), mistakes);
-    each(into.back(), here);
+    read_fields((*it)[i], table, {}, entry_path, into.back(), mistakes);
+    check_entry(into.back(), entry_path);
   }
 }
 
-void check_together(const Scenario& s, std::vector<ValidationError>& mistakes) {
-  const auto sum = [&](const auto& items, auto member, const char* where) {
-    double all = 0;
+void check_consistency(const Scenario& s, std::vector<ValidationError>& mistakes) {
+  const auto require_positive_sum = [&](const auto& items, auto member, const char* where) {
+    double total = 0;
     for (const auto& item : items) {
-      all += item.*member;
+      total += item.*member;
     }
-    if (all <= 0) {
+    if (total <= 0) {
       mistakes.push_back({where, "the shares are all 0; at least one must be above"});
     }
   };
-  sum(s.zones, &ZoneSpec::traffic, "zones.traffic");
-  sum(s.zones, &ZoneSpec::hosts, "zones.hosts");
-  sum(s.hosts.kinds, &KindSpec::share, "hosts.kinds.share");
-  sum(s.classes, &ClassSpec::share, "classes.share");
+  require_positive_sum(s.zones, &ZoneSpec::traffic, "zones.traffic");
+  require_positive_sum(s.zones, &ZoneSpec::hosts, "zones.hosts");
+  require_positive_sum(s.hosts.kinds, &KindSpec::share, "hosts.kinds.share");
+  require_positive_sum(s.classes, &ClassSpec::share, "classes.share");
   std::set<std::string> names;
   for (const ZoneSpec& z : s.zones) {
     if (!names.insert(z.name).second) {
@@ -253,8 +259,8 @@
     mistakes.push_back(
         {"hosts.start", "is '" + s.hosts.start + R"('; it should be "warm" or "cold")"});
   }
-  for (std::size_t i = 0; i < s.troubles.size(); ++i) {
-    const TroubleSpec& t = s.troubles[i];
+  for (std::size_t i = 0; i < s.faults.size(); ++i) {
+    const FaultSpec& t = s.faults[i];
     if (t.zone.empty()) {
       continue;
     }
@@ -279,87 +285,87 @@
 
 bool detail::read_number(const json& value, double least, double most, const char* unit,
                          double& into, std::string& mistake) {
-  const std::string named = *unit ? std::string(" (") + unit + ")" : "";
+  const std::string unit_text = *unit ? std::string(" (") + unit + ")" : "";
   if (!value.is_number()) {
-    mistake = "should be a number" + named + " from " + format_number(least) + " to " +
+    mistake = "should be a number" + unit_text + " from " + format_number(least) + " to " +
               format_number(most);
     return false;
   }
   const double d = value.get<double>();
   if (!(d >= least && d <= most)) {
     mistake = "is " + format_number(d) + "; it should be " + format_number(least) + " to " +
-              format_number(most) + named;
+              format_number(most) + unit_text;
     return false;
   }
   into = d;
   return true;
 }
 
-std::string_view name_of(TroubleKind kind) {
-  return kTroubleNames[static_cast<std::size_t>(kind)];
+std::string_view name_of(FaultKind kind) {
+  return kFaultNames[static_cast<std::size_t>(kind)];
 }
 
 // NOLINTNEXTLINE(readability-function-size): too long
 ScenarioReading read_scenario(const json& object) {
-  ScenarioReading out;
-  Scenario& s = out.scenario;
-  std::vector<ValidationError>& m = out.mistakes;
+  ScenarioReading reading;
+  Scenario& s = reading.scenario;
+  std::vector<ValidationError>& m = reading.mistakes;
   read_fields(object, kScenario,
               {"zones", "network", "gateways", "hosts", "clients", "classes", "discovery", "rules",
                "limits", "troubles"},
               "", s, m);
   if (!object.is_object()) {
-    return out;
+    return reading;
   }
-  const auto nothing = [](auto&, const std::string&) {
+  const auto no_check = [](auto&, const std::string&) {
   };
-  list(object, "zones", kZone, "", false, s.zones, m, nothing);
-  part(object, "network", kNetwork, "", s.network, m);
-  part(object, "gateways", kGateways, "", s.gateways, m);
-  part(object, "hosts", kHosts, "", s.hosts, m,
-       {"kinds", "crowding", "warm", "connections", "report"});
+  read_list(object, "zones", kZone, "", false, s.zones, m, no_check);
+  read_section(object, "network", kNetwork, "", s.network, m);
+  read_section(object, "gateways", kGateways, "", s.gateways, m);
+  read_section(object, "hosts", kHosts, "", s.hosts, m,
+               {"kinds", "crowding", "warm", "connections", "report"});
   if (const auto hosts = object.find("hosts"); hosts != object.end() && hosts->is_object()) {
-    list(*hosts, "kinds", kKind, "hosts.", false, s.hosts.kinds, m, nothing);
-    part(*hosts, "crowding", kCrowding, "hosts.", s.hosts.crowding, m);
-    part(*hosts, "warm", kWarm, "hosts.", s.hosts.warm, m);
-    part(*hosts, "connections", kConnections, "hosts.", s.hosts.connections, m);
-    part(*hosts, "report", kReport, "hosts.", s.hosts.report, m);
+    read_list(*hosts, "kinds", kKind, "hosts.", false, s.hosts.kinds, m, no_check);
+    read_section(*hosts, "crowding", kCrowding, "hosts.", s.hosts.crowding, m);
+    read_section(*hosts, "warm", kWarm, "hosts.", s.hosts.warm, m);
+    read_section(*hosts, "connections", kConnections, "hosts.", s.hosts.connections, m);
+    read_section(*hosts, "report", kReport, "hosts.", s.hosts.report, m);
   }
-  part(object, "clients", kClients, "", s.clients, m);
-  list(object, "classes", kClass, "", false, s.classes, m,
-       [&](ClassSpec& c, const std::string& at) {
-         if (c.idempotency != "retryable" && c.idempotency != "dedup" &&
-             c.idempotency != "fragile") {
-           m.push_back({at + ".effect",
-                        "is '" + c.idempotency + "'; it should be retryable, dedup or fragile"});
-         }
-         if (c.deduplication_scope != "all" && c.deduplication_scope != "zone" &&
-             c.deduplication_scope != "cell") {
-           m.push_back({at + ".group",
-                        "is '" + c.deduplication_scope + "'; it should be all, zone or cell"});
-         }
-       });
-  part(object, "discovery", kDiscovery, "", s.discovery, m);
-  part(object, "rules", kRules, "", s.rules, m);
-  part(object, "limits", kLimits, "", s.limits, m);
-  list(object, "troubles", kTrouble, "", true, s.troubles, m,
-       [&](TroubleSpec& t, const std::string& at) {
-         for (std::size_t i = 0; i < kTroubleNames.size(); ++i) {
-           if (t.kind_name == kTroubleNames[i]) {
-             t.kind = static_cast<TroubleKind>(i);
-             return;
-           }
-         }
-         std::string known;
-         for (std::string_view name : kTroubleNames) {
-           known += (known.empty() ? "" : ", ") + std::string(name);
-         }
-         m.push_back({at + ".kind", "'" + t.kind_name + "' is no trouble; known: " + known});
-       });
+  read_section(object, "clients", kClients, "", s.clients, m);
+  read_list(
+      object, "classes", kClass, "", false, s.classes, m, [&](ClassSpec& c, const std::string& at) {
+        if (c.idempotency != "retryable" && c.idempotency != "dedup" &&
+            c.idempotency != "fragile") {
+          m.push_back({at + ".effect",
+                       "is '" + c.idempotency + "'; it should be retryable, dedup or fragile"});
+        }
+        if (c.deduplication_scope != "all" && c.deduplication_scope != "zone" &&
+            c.deduplication_scope != "cell") {
+          m.push_back({at + ".group",
+                       "is '" + c.deduplication_scope + "'; it should be all, zone or cell"});
+        }
+      });
+  read_section(object, "discovery", kDiscovery, "", s.discovery, m);
+  read_section(object, "rules", kRules, "", s.rules, m);
+  read_section(object, "limits", kLimits, "", s.limits, m);
+  read_list(object, "troubles", kFault, "", true, s.faults, m,
+            [&](FaultSpec& t, const std::string& at) {
+              for (std::size_t i = 0; i < kFaultNames.size(); ++i) {
+                if (t.kind_name == kFaultNames[i]) {
+                  t.kind = static_cast<FaultKind>(i);
+                  return;
+                }
+              }
+              std::string known;
+              for (std::string_view name : kFaultNames) {
+                known += (known.empty() ? "" : ", ") + std::string(name);
+              }
+              m.push_back({at + ".kind", "'" + t.kind_name + "' is no trouble; known: " + known});
+            });
   if (m.empty()) {
-    check_together(s, m);
+    check_consistency(s, m);
   }
-  return out;
+  return reading;
 }
 
 ScenarioReading load_scenario(const std::filesystem::path& path) {
@@ -369,8 +375,8 @@
   }
   try {
     return read_scenario(json::parse(file));
-  } catch (const json::parse_error& bad) {
-    std::string what = bad.what();  // "[json.exception...] parse error at line L, column C: ..."
+  } catch (const json::parse_error& error) {
+    std::string what = error.what();  // "[json.exception...] parse error at line L, column C: ..."
     if (const auto from = what.find("] "); from != std::string::npos) {
       what = what.substr(from + 2);
     }
@@ -395,19 +401,19 @@
   describe_fields("discovery", kDiscovery, rows);
   describe_fields("rules", kRules, rows);
   describe_fields("limits", kLimits, rows);
-  describe_fields("troubles[]", kTrouble, rows);
+  describe_fields("troubles[]", kFault, rows);
   return rows;
 }
 
-load_balancer::Settings balancer_settings(const Scenario& s, unsigned number,
+load_balancer::Settings balancer_settings(const Scenario& s, unsigned gateway_index,
                                           const std::string& zone, std::uint64_t seed) {
   load_balancer::Settings m;
   m.seed = seed;
   m.gateway_count = s.gateways.count;
-  m.gateway_index = number;
+  m.gateway_index = gateway_index;
   m.zone = zone;
   m.poll_discovery = true;
-  m.allow_hedging = s.limits.second_copies;
+  m.allow_hedging = s.limits.hedging;
   m.key_affinity = s.hosts.warm.on;
   m.send_retry_after = s.limits.retry_after;
   m.allow_cancellation = s.limits.cancel;
@@ -424,21 +430,21 @@
   m.collapse_load_factor = s.rules.collapse_load_factor;
   m.collapse_window = from_millis(s.rules.collapse_window_ms);
   for (const ClassSpec& c : s.classes) {
-    load_balancer::ClassSettings out;
-    out.name = c.name;
-    out.latency_objective = from_millis(c.latency_objective_ms);
-    out.client_timeout = from_millis(c.client_timeout_ms);
-    out.deduplication_window = from_millis(c.deduplication_window_ms);
-    out.idempotency = c.idempotency == "retryable" ? load_balancer::Idempotency::idempotent
-                      : c.idempotency == "dedup"   ? load_balancer::Idempotency::deduplicated
-                                                   : load_balancer::Idempotency::non_idempotent;
-    out.deduplication_scope =
+    load_balancer::ClassSettings settings;
+    settings.name = c.name;
+    settings.latency_objective = from_millis(c.latency_objective_ms);
+    settings.client_timeout = from_millis(c.client_timeout_ms);
+    settings.deduplication_window = from_millis(c.deduplication_window_ms);
+    settings.idempotency = c.idempotency == "retryable" ? load_balancer::Idempotency::idempotent
+                           : c.idempotency == "dedup"   ? load_balancer::Idempotency::deduplicated
+                                                      : load_balancer::Idempotency::non_idempotent;
+    settings.deduplication_scope =
         c.deduplication_scope == "zone"   ? load_balancer::DeduplicationScope::zone
         : c.deduplication_scope == "cell" ? load_balancer::DeduplicationScope::cell
                                           : load_balancer::DeduplicationScope::global;
-    out.priority_weight = c.priority_weight;
-    out.late_value_fraction = c.late_value_fraction;
-    m.classes.push_back(out);
+    settings.priority_weight = c.priority_weight;
+    settings.late_value_fraction = c.late_value_fraction;
+    m.classes.push_back(settings);
   }
   return m;
 }
--- a/src/lab/simulation/fleet_simulation.cpp
+++ b/src/lab/simulation/fleet_simulation.cpp
@@ -637,7 +637,7 @@
     }
     release_if_finished(slot);
   }
-  g.connections->drop_all([&](std::uint32_t host, std::size_t count) {
+  g.connections->close_all([&](std::uint32_t host, std::size_t count) {
     for (std::size_t i = 0; i < count; ++i) {
       hosts_[host].model.close_connection();
     }
@@ -750,7 +750,7 @@
   if (host >= hosts_.size()) {
     return;  // the policy has removed the host since
   }
-  for (std::size_t closed = gateway.connections->drop_idle(host); closed > 0; --closed) {
+  for (std::size_t closed = gateway.connections->close_idle(host); closed > 0; --closed) {
     hosts_[host].model.close_connection();
   }
 }
@@ -1005,7 +1005,7 @@
 void FleetSimulation::close_connections(std::uint32_t number) {
   for (Gateway& g : gateways_) {
     if (g.connections) {
-      g.connections->drop_idle(number);
+      g.connections->close_idle(number);
     }
   }
   hosts_[number].model.close_all_connections();
@@ -1165,7 +1165,7 @@
     }
     threshold_sum += g.policy->shedding_threshold();
     ++alive;
-    g.connections->drop_old_everywhere(now_, [&](std::uint32_t host, std::size_t count) {
+    g.connections->close_expired(now_, [&](std::uint32_t host, std::size_t count) {
       for (; count > 0; --count) {
         hosts_[host].model.close_connection();
       }
