--- a/src/lab/simulation/experiment.hpp
+++ b/src/lab/simulation/experiment.hpp
@@ -1,4 +1,4 @@
-// Many days: seeds side by side, pairs of results, and how sure a difference is.
+// Many runs: one for each seed, and the paired comparison of two sets of results.
 #pragma once
 
 #include <cstdint>
@@ -13,11 +13,11 @@
 
 namespace gateway::lab {
 
-using Progress = std::function<void(double share)>;  // 0 to 1; called from one thread only
+using Progress = std::function<void(double share)>;  // 0 to 1; called from the caller's thread
 
-// One day for each of `seeds` seeds from `first` on, `jobs` at a time. Results stand in order of
-// seed and do not depend on `jobs`. An exception of one day (a policy that throws) ends the whole
-// and is thrown here.
+// One run for each of `seeds` seeds from `first` on, `jobs` at a time. Results are in order of seed
+// and do not depend on `jobs`. An exception of one run, such as from the policy, ends all runs and
+// is rethrown.
 std::vector<DayResult> simulate_runs(const Scenario& scenario, std::uint64_t first, unsigned seeds,
                                      unsigned jobs, const PolicyMaker& policy,
                                      const Progress& progress = {});
@@ -25,7 +25,7 @@
 struct Difference {
   std::string figure;
   double mean_a = 0, mean_b = 0;
-  double mean = 0, low = 0, high = 0;  // B less A, paired by seed; 95 % bootstrap interval
+  double mean = 0, low = 0, high = 0;  // B minus A, paired by seed; 95 % interval
   std::size_t pairs = 0;
   bool is_noise() const { return low <= 0 && high >= 0; }
 };
