--- a/tests/replicated_store/replicated_store_test.cpp
+++ b/tests/replicated_store/replicated_store_test.cpp
@@ -5,9 +5,11 @@
 #include <rapidcheck.h>
 #include <sys/resource.h>
 
+#include <array>
 #include <csignal>
 #include <fstream>
 #include <random>
+#include <sstream>
 
 #include "replicated_store/state_machine.hpp"
 #include "replicated_store/write_ahead_log.hpp"
@@ -458,5 +460,137 @@
   EXPECT_THROW(WriteAheadLog(directory, settings), DiskError);
 }
 
+// --- Recorded log
+
+// The log in data/log was written by an earlier build, with the cluster id and segment size of
+// WriteAheadLogTest. It was appended these commands in this text form: client ("-": none), number,
+// operation and its arguments. Entries 1 to 4 have term 2, entries 5 to 8 term 3, the others term
+// 5. The snapshot includes the first 8 entries.
+constexpr auto kRecordedCommands = std::to_array<const char*>({
+    "- 0 advance 1000",
+    "g1 1 put map/a 1 0 0 0",
+    "g1 2 grant 500",
+    "g1 3 put coordinator g1 1 2",
+    "g2 1 put map/b 2 0 0",
+    "g2 2 grant 800",
+    "g2 3 put map/c 3 2 5 0",
+    "g2 4 put map/a 9 0 0 3",
+    "g1 4 renew 1",
+    "g3 1 put map/a 4 0 0 1",
+    "g3 1 put map/a 4 0 0 1",
+    "- 0 advance 1499",
+    "g2 5 release 2",
+    "g2 6 erase map/b 0 0 4",
+    "g1 5 grant 300",
+    "g1 6 put step 7 3 10",
+    "- 0 advance 1500",
+    "- 0 put map/d 5 0 0",
+});
+constexpr std::size_t kRecordedSnapshotIndex = 8;
+
+// Reads lease, fencing token and, if present, the expected revision.
+WriteCondition read_condition(std::istream& in) {
+  WriteCondition condition;
+  in >> condition.lease >> condition.fencing_token;
+  if (Revision revision = 0; in >> revision) {
+    condition.expected_revision = revision;
+  }
+  return condition;
+}
+
+Operation read_operation(std::istream& in) {
+  std::string name;
+  std::string key;
+  std::string value;
+  std::uint64_t number = 0;
+  in >> name;
+  if (name == "put") {
+    in >> key >> value;
+    return Put{key, value, read_condition(in)};
+  }
+  if (name == "erase") {
+    in >> key;
+    return Erase{key, read_condition(in)};
+  }
+  in >> number;
+  if (name == "grant") {
+    return GrantLease{number};
+  }
+  if (name == "renew") {
+    return RenewLease{number};
+  }
+  if (name == "release") {
+    return ReleaseLease{number};
+  }
+  EXPECT_EQ(name, "advance");
+  return AdvanceClock{number};
+}
+
+Command decode_recorded(const std::string& text) {
+  std::istringstream in(text);
+  Command command;
+  in >> command.client >> command.number;
+  if (command.client == "-") {
+    command.client.clear();
+  }
+  command.operation = read_operation(in);
+  return command;
+}
+
+// The state after the first `count` recorded commands.
+StateMachine execute_recorded(std::size_t count) {
+  StateMachine machine;
+  for (std::size_t i = 0; i < count; ++i) {
+    machine.apply(decode_recorded(kRecordedCommands.at(i)));
+  }
+  return machine;
+}
+
+// The contents that the earlier build had after the recorded commands.
+void expect_recorded_contents(const StateMachine& machine) {
+  const std::vector<std::pair<std::string, Entry>> expected = {
+      {"map/a", {"4", 1, 7, 0}}, {"map/d", {"5", 13, 13, 0}}, {"step", {"7", 11, 11, 3}}};
+  EXPECT_EQ(machine.list(""), expected);
+  EXPECT_EQ(machine.revision(), 13u);
+  EXPECT_EQ(machine.now(), 1500u);
+  EXPECT_EQ(machine.lease_count(), 1u);
+}
+
+// Guards against a change of the format on disk: a member that could not read its files after an
+// upgrade would lose entries that it has acknowledged, and its vote.
+TEST_F(WriteAheadLogTest, LogOfEarlierBuildIsReadCompletely) {
+  fs::copy(fs::path(TEST_DATA_DIRECTORY) / "log", directory);
+  std::vector<LogEntry> expected;
+  {
+    WriteAheadLog log(directory, settings);
+    EXPECT_EQ(log.vote(), (WriteAheadLog::Vote{5, 3}));
+    EXPECT_EQ(log.snapshot().index, kRecordedSnapshotIndex);
+    EXPECT_EQ(log.snapshot().term, 3u);
+    EXPECT_EQ(log.first_index(), 5u) << "two entries before the snapshot were kept";
+    ASSERT_EQ(log.next_index(), kRecordedCommands.size() + 1);
+    EXPECT_EQ(log.truncated_bytes(), 0u);
+    for (std::uint64_t i = log.first_index(); i < log.next_index(); ++i) {
+      EXPECT_EQ(log.at(i),
+                (LogEntry{i <= kRecordedSnapshotIndex ? 3u : 5u, 1, kRecordedCommands.at(i - 1)}));
+    }
+    EXPECT_EQ(execute_recorded(kRecordedSnapshotIndex).snapshot(), log.snapshot().data);
+    StateMachine restored;
+    ASSERT_TRUE(restored.restore(log.snapshot().data));
+    for (std::uint64_t i = log.snapshot().index + 1; i < log.next_index(); ++i) {
+      restored.apply(decode_recorded(log.at(i).data));
+    }
+    expect_recorded_contents(restored);
+    EXPECT_EQ(restored.snapshot(), execute_recorded(kRecordedCommands.size()).snapshot());
+    expected = entries_of(log);
+    expected.push_back(entry(6, "- 0 put map/e 6 0 0"));
+    log.append({expected.back()});
+  }
+  WriteAheadLog reopened_log(directory, settings);
+  EXPECT_EQ(entries_of(reopened_log), expected);
+  EXPECT_EQ(reopened_log.vote(), (WriteAheadLog::Vote{5, 3}));
+  EXPECT_EQ(reopened_log.snapshot().index, kRecordedSnapshotIndex);
+  EXPECT_EQ(reopened_log.truncated_bytes(), 0u);
+}
+
 }  // namespace
 }  // namespace gateway::replicated_store
