--- a/src/load_balancer/settings_validation.cpp
+++ b/src/load_balancer/settings_validation.cpp
@@ -39,7 +39,7 @@
     require(class_settings.client_timeout >= class_settings.latency_objective,
             "class " + class_settings.name + ": giveUpNs must not be below aimNs");
     require(std::isfinite(class_settings.priority_weight) && class_settings.priority_weight >= 0,
-            "class " + class_settings.name + ": worth must be 0 or more");
+            "class " + class_settings.name + ": points must be 0 or more");
     require(class_settings.late_value_fraction >= 0 && class_settings.late_value_fraction <= 1,
             "class " + class_settings.name + ": lateShare must lie in [0, 1]");
     require(class_settings.latency_objective_per_cost >= 0,
--- a/src/load_balancer/settings_validation.hpp
+++ b/src/load_balancer/settings_validation.hpp
@@ -6,7 +6,7 @@
 namespace load_balancer {
 
 // Throws std::invalid_argument for the first setting that is out of range. The message gives the
-// range and the setting's key in the configuration file ("worth" stands for the key "points").
+// range and the setting's key in the configuration file.
 void validate(const Settings& settings);
 
 }  // namespace load_balancer
--- a/tests/load_balancer/rules_test.cpp
+++ b/tests/load_balancer/rules_test.cpp
@@ -501,7 +501,7 @@
   EXPECT_NE(error_message(s).find("write"), std::string::npos);
   s = make_settings();
   s.classes[1].priority_weight = std::nan("");
-  EXPECT_NE(error_message(s).find("worth"), std::string::npos);
+  EXPECT_NE(error_message(s).find("points"), std::string::npos);
 }
 
 // --- Random valid event sequences: rules 1 to 3 hold for the actions, and the same events give the
