--- a/src/gateway/resource_limits.cpp
+++ b/src/gateway/resource_limits.cpp
@@ -8,19 +8,21 @@
 // Buffered bodies may use the process's memory divided by this: a body may be buffered three times,
 // and its response needs memory as well.
 constexpr std::size_t kBodyMemoryDivisor = 8;
-// Client connections that carry requests use at most a third of the descriptors. Connections that
-// have sent a request may keep three quarters of that third; a quarter stays free for new ones.
+// The clients' third: all descriptors divided by this. Each of two processes has at most that many
+// client connections plus kExtraClientConnections; kClientFifths bounds those of a sole process.
 constexpr std::size_t kClientDivisor = 3;
+// For each process, sole or not: if more connections than this fraction of the clients' third have
+// sent a request, the one that is idle longest, if any, is closed to keep capacity for new ones.
 constexpr std::size_t kReusedConnectionsNumerator = 3;
 constexpr std::size_t kReusedConnectionsDenominator = 4;
-// A sole process divides its descriptors, without the reserved ones, into fifths: three for
-// connections to clients, two for connections to hosts.
+// A sole process divides its descriptors, without the reserved ones, into fifths: at most three for
+// connections to clients and two for connections to hosts.
 constexpr std::size_t kClientFifths = 3;
 constexpr std::size_t kUpstreamFifths = 2;
 // Descriptors for the listening socket, discovery, operators' calls, the event loop, the standard
 // streams and the libraries.
 constexpr std::size_t kReservedDescriptors = 32;
-// Client connections that each of two processes may have beyond the third.
+// Client connections that each of two processes may have beyond the clients' third.
 constexpr std::size_t kExtraClientConnections = 8;
 
 std::size_t fifths_of_descriptors(const config::Config& config, std::size_t fifths) {
