--- a/src/simulator_adapter/adapter.cpp
+++ b/src/simulator_adapter/adapter.cpp
@@ -692,11 +692,11 @@
   print_actions(gateway);
 }
 
-void Adapter::on_settled(Gateway& gateway, std::string_view rest) {
+void Adapter::on_settled(Gateway& gw, std::string_view rest) {
   AttemptResult result;
   std::string_view ref;
   std::string_view host;
-  std::string_view metrics;
+  std::string_view load;
   Pair pair;
   bool has_attempt = false;
   bool has_outcome = false;
@@ -716,30 +716,31 @@
     } else if (pair.name == "host") {
       host = pair.value;
     } else if (pair.name == "metrics") {
-      metrics = pair.value;
+      load = pair.value;
     }
   }
   if (ref.empty() || !has_attempt || !has_outcome) {
     throw MalformedLine("ref, go or disposition is missing");
   }
   std::uint32_t slot = 0;
-  Gateway::RequestSlot* request = gateway.find_request(ref, slot);
+  Gateway::RequestSlot* request = gw.find_request(ref, slot);
   if (!request) {
     return;
   }
-  result.request = gateway.id_of(slot);
+  result.request = gw.id_of(slot);
   if (request->attempts_in_flight > 0) {
     --request->attempts_in_flight;
   }
-  request->ended |= result.is_final;
-  if (!metrics.empty()) {
-    gateway.balancer.on_load_report(Time(now_ns_), gateway.balancer.find_host(host),
-                                    gateway.to_load_report(metrics));
+  if (result.is_final) {
+    request->ended = true;
   }
-  gateway.balancer.on_attempt_result(Time(now_ns_), result);
-  print_actions(gateway);
-  if (gateway.find_request(ref, slot)) {
-    gateway.remove_if_over(slot);
+  if (!load.empty()) {
+    gw.balancer.on_load_report(Time(now_ns_), gw.balancer.find_host(host), gw.to_load_report(load));
+  }
+  gw.balancer.on_attempt_result(Time(now_ns_), result);
+  print_actions(gw);
+  if (gw.find_request(ref, slot)) {
+    gw.remove_if_over(slot);
   }
 }
 
--- a/src/simulator_adapter/adapter.hpp
+++ b/src/simulator_adapter/adapter.hpp
@@ -55,7 +55,7 @@
   void on_ledger(std::string_view rest);
   void on_membership(Gateway& gateway, std::string_view rest);
   void on_request(Gateway& gateway, std::string_view rest);
-  void on_settled(Gateway& gateway, std::string_view rest);
+  void on_settled(Gateway& gw, std::string_view rest);
   // The gateway of the field "i". It has an event in this batch then.
   Gateway& gateway_of(std::string_view rest);
   // Moves the actions of the gateway's Balancer into its reply.
