--- a/include/load_balancer/actions.hpp
+++ b/include/load_balancer/actions.hpp
@@ -22,8 +22,9 @@
   Duration must_start_within = Duration::max();
 };
 
-// Respond to the client that the request was rejected. It had no effect or may run again without
-// harm, so that a retry is safe.
+// Respond to the client that the request was rejected. A retry is safe: no attempt can have run at
+// its host, or the class is idempotent, or it is deduplicated by all hosts and no attempt is in
+// flight.
 struct RejectRequest {
   RequestId request = 0;
   Duration retry_after{};  // wait before a retry that the client is asked for; zero: none
--- a/src/load_balancer/request_scheduler.cpp
+++ b/src/load_balancer/request_scheduler.cpp
@@ -220,8 +220,9 @@
   cancel_attempts(*request, attempt);
 }
 
-// A rejection states that the request had no effect, so it is sent only if a retry by the client is
-// safe.
+// Sends a rejection if a retry by the client is safe: no attempt can have run at its host, or the
+// class is idempotent, or it is deduplicated by all hosts and no attempt is in flight. Otherwise
+// the request fails.
 void RequestScheduler::reject_or_fail(ActiveRequest& request) {
   const ClassSettings& class_settings = context.classes[request.class_index].settings;
   bool may_have_run = false;
