--- a/src/config/config.cpp
+++ b/src/config/config.cpp
@@ -15,20 +15,21 @@
 using load_balancer::Duration;
 using nlohmann::json;
 
-/// With fewer file descriptors the shares of clients, hosts and the process itself do not fit.
-constexpr std::size_t kMinSockets = 64;
-/// Used where the settings give no `connectTimeoutNs`.
+/// Fewer file descriptors would not suffice for clients, hosts and the process itself.
+constexpr std::size_t kMinDescriptors = 64;
+/// Used if the settings have no `connectTimeoutNs`.
 constexpr std::chrono::milliseconds kDefaultConnectTimeout{250};
 /// Descriptors 0 to 2 are the standard streams.
 constexpr int kFirstPassedDescriptor = 3;
 
-/// Fields that the environment can set as well as the file.
+/// Reads fields that both the environment and the file can set; `reason` decides which of the two
+/// has precedence.
 class OverridableFields {
  public:
   OverridableFields(const json& document, const Environment& environment, LoadReason reason)
       : document_(document), environment_(environment), reason_(reason) {}
 
-  /// Empty where neither source sets the field.
+  /// The value of the field; empty if neither the variable nor the file sets it.
   std::string text(const char* field, const char* variable) const {
     const char* value = environment_(variable);
     if (value && (reason_ == LoadReason::startup || !document_.contains(field))) {
@@ -39,6 +40,7 @@
     return text;
   }
 
+  /// The address in the field. Throws ConfigError if it is not set or invalid.
   tcp::endpoint endpoint(const char* field, const char* variable) const {
     const std::optional<tcp::endpoint> address = optional_endpoint(field, variable);
     if (!address) {
@@ -48,6 +50,7 @@
     return *address;
   }
 
+  /// The address in the field; empty if it is not set. Throws ConfigError if it is invalid.
   std::optional<tcp::endpoint> optional_endpoint(const char* field, const char* variable) const {
     const std::string address = text(field, variable);
     if (address.empty()) {
@@ -74,7 +77,8 @@
   const char* last = text + std::string_view(text).size();
   const auto [end, error] = std::from_chars(text, last, descriptor);
   if (error != std::errc{} || end != last || descriptor < kFirstPassedDescriptor) {
-    throw field_error("GW_PASSED_SOCKET", std::string("'") + text + "' is no descriptor",
+    throw field_error("GW_PASSED_SOCKET",
+                      std::string("'") + text + "' is not a descriptor number of at least 3",
                       "a file descriptor from 3 upwards");
   }
   return descriptor;
@@ -83,7 +87,7 @@
 void read_limits(const json& limits, Config& config) {
   read_field(limits, "sockets", config.max_descriptors);
   read_field(limits, "memory_mb", config.memory_mb);
-  if (config.max_descriptors < kMinSockets) {
+  if (config.max_descriptors < kMinDescriptors) {
     throw field_error("sockets", "at least 64 are needed", "at least 64");
   }
   if (config.memory_mb == 0) {
@@ -102,7 +106,7 @@
   }
 }
 
-/// The load balancer checks its settings when it is constructed.
+/// Constructs a load balancer, because its constructor validates the settings. Throws ConfigError.
 void validate_settings(const load_balancer::Settings& settings) {
   try {
     const load_balancer::Balancer balancer(settings, Duration{});
@@ -152,7 +156,8 @@
   const json document = json::parse(file, nullptr, false);
   try {
     if (document.is_discarded()) {
-      throw ConfigError(std::string(path) + " holds no JSON", {{}, "holds no JSON", "JSON"});
+      throw ConfigError(std::string(path) + " is not valid JSON",
+                        {{}, "is not valid JSON", "JSON"});
     }
     return parse_config(document, environment, reason);
   } catch (ConfigError& error) {
--- a/src/config/config.hpp
+++ b/src/config/config.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The gateway's configuration: a JSON file and the `GW_*` environment variables as typed settings.
-/// Read at startup and again on SIGHUP.
+/// The gateway's configuration, read from a JSON file and the `GW_*` environment variables at
+/// startup and again on SIGHUP.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -20,33 +20,35 @@
 using tcp = boost::asio::ip::tcp;
 
 struct Config {
-  std::string name;                    ///< Names this gateway's directory under `$TMPDIR`.
-  tcp::endpoint listen;                ///< Where clients connect.
-  tcp::endpoint discovery;             ///< The discovery server that is polled for endpoints.
-  std::optional<tcp::endpoint> admin;  ///< Where operators connect; none without an admin server.
-  /// File descriptor of the clients' listening socket, inherited from whoever starts the process.
+  std::string name;                    ///< The gateway's name; part of its state directory's path.
+  tcp::endpoint listen;                ///< Address for connections from clients.
+  tcp::endpoint discovery;             ///< Address of the discovery server.
+  std::optional<tcp::endpoint> admin;  ///< Address for operators' calls; empty: no admin server.
+  /// Descriptor of the clients' listening socket, if the process has inherited it from its parent.
   std::optional<int> passed_socket;
-  std::size_t max_descriptors = 1024;         ///< File descriptors that the process may have open.
-  std::size_t memory_mb = 192;                ///< MiB; the platform kills a process that uses more.
-  load_balancer::Duration connect_timeout{};  ///< For a new connection to a host.
+  std::size_t max_descriptors = 1024;  ///< Limit of the process's open file descriptors.
+  std::size_t memory_mb = 192;         ///< Limit in MiB; the platform kills a process above it.
+  load_balancer::Duration connect_timeout{};  ///< For connecting to a host.
   load_balancer::Settings balancer_settings;  ///< Settings of the load balancer.
-  /// The endpoint list of an earlier run, used until discovery answers; it may be out of date.
+  /// The endpoint list of an earlier process. It may be out of date; it is used until discovery has
+  /// sent a list.
   std::optional<discovery::EndpointList> known_endpoints;
 };
 
-/// Looks up an environment variable like `std::getenv`: null where it is not set. Called only
-/// during the call that it is passed to.
+/// Returns the value of an environment variable, or null if it is not set, like `std::getenv`. It
+/// is called only before the function that it is passed to returns.
 using Environment = std::function<const char*(const char*)>;
 
-/// Which source wins where both the environment and the file set a field. At startup a variable
-/// overrides the file. A running process keeps the variables that it was started with, so on a
-/// reload the file is newer and overrides them.
+/// Why the configuration is read; decides which source has precedence if both the environment and
+/// the file set a field. At startup a variable overrides the file. On a reload the file overrides a
+/// variable, because it is newer: a running process keeps the variables that it was started with.
 enum class LoadReason { startup, reload };
 
-/// Reads the file that `GW_CONFIG` names. Throws ConfigError.
+/// Reads the configuration from the file that `GW_CONFIG` names and from the environment. Throws
+/// ConfigError.
 Config load_config(const Environment& environment, LoadReason reason = LoadReason::startup);
 
-/// Reads a parsed configuration document. Throws ConfigError.
+/// Reads the configuration from a JSON document and from the environment. Throws ConfigError.
 Config parse_config(const nlohmann::json& document, const Environment& environment,
                     LoadReason reason = LoadReason::startup);
 
--- a/src/config/config_error.hpp
+++ b/src/config/config_error.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The error that every reader of the configuration throws.
+/// The error for an invalid configuration.
 #pragma once
 
 #include <stdexcept>
@@ -8,20 +8,20 @@
 
 namespace gateway::config {
 
-/// A mistake in the configuration. `what()` is the one line printed for the operator; the other
-/// members name its parts for callers that handle them separately.
+/// A mistake in the configuration. `what()` is the line that is printed for the operator; the other
+/// members are its parts, for callers that handle them separately.
 class ConfigError : public std::runtime_error {
  public:
   struct Details {
-    std::string field;     ///< JSON field or environment variable; empty for the file as a whole.
-    std::string mistake;   ///< What is wrong with its value.
-    std::string expected;  ///< What would be accepted; empty where the mistake already says so.
+    std::string field;     ///< JSON field or environment variable; empty for the whole file.
+    std::string mistake;   ///< Why the value of the field is invalid.
+    std::string expected;  ///< Which values are valid; empty if `mistake` already says so.
   };
 
   ConfigError(const std::string& line, Details details)
       : std::runtime_error(line), details_(std::move(details)) {}
 
-  /// Path of the configuration file; empty while a document is parsed without one.
+  /// Path of the configuration file; empty if the document was not read from a file.
   const std::string& file() const { return file_; }
   const std::string& field() const { return details_.field; }
   const std::string& mistake() const { return details_.mistake; }
@@ -34,7 +34,7 @@
   Details details_;
 };
 
-/// The error whose line reads "FIELD: MISTAKE".
+/// Makes the error whose line is "FIELD: MISTAKE".
 inline ConfigError field_error(const std::string& field, const std::string& mistake,
                                std::string expected = {}) {
   return {field + ": " + mistake, {field, mistake, std::move(expected)}};
--- a/src/config/json_fields.hpp
+++ b/src/config/json_fields.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Typed reading of single fields of a JSON object. An absent or null field keeps the default that
-/// the caller put in place.
+/// Typed reading of the fields of a JSON object. For an absent or null field the caller's default
+/// value stays.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 namespace gateway::config {
 
-/// The name of a field type as used in ConfigError::expected().
+/// Describes the valid values of a field of type T, for ConfigError::expected().
 template <class T>
 constexpr const char* expected_type() {
   if constexpr (std::is_same_v<T, load_balancer::Duration>) {
@@ -33,8 +33,8 @@
   }
 }
 
-/// Reads an unsigned field as signed first: nlohmann::json would convert a negative number to a
-/// huge unsigned one without an error.
+/// The value as an unsigned number of up to 32 bits. It is read as a signed number first, because
+/// nlohmann::json converts a negative number to a large unsigned one without an error.
 template <class T>
 T unsigned_value(const nlohmann::json& value, const char* name) {
   const auto number = value.get<std::int64_t>();
@@ -44,8 +44,8 @@
   return static_cast<T>(number);
 }
 
-/// Stores the field `name` of `object` in `target`, which stays as it is where the field is absent
-/// or null. Durations are in nanoseconds. Throws ConfigError for a value of another type.
+/// Stores the field `name` of `object` in `target`, which is unchanged if the field is absent or
+/// null. Durations are in nanoseconds. Throws ConfigError if the value has another type.
 template <class T>
 void read_field(const nlohmann::json& object, const char* name, T& target) {
   const auto field = object.find(name);
@@ -65,8 +65,8 @@
   }
 }
 
-/// The object in the field `name`, an empty one where the field is absent. The reference lives as
-/// long as `object`. Throws ConfigError where the field is not an object.
+/// The object in the field `name`, or an empty object if the field is absent. The reference is
+/// valid as long as `object`. Throws ConfigError if the field is not an object.
 inline const nlohmann::json& object_field(const nlohmann::json& object, const char* name) {
   static const nlohmann::json kEmptyObject = nlohmann::json::object();
   const auto field = object.find(name);
--- a/src/config/settings_reader.cpp
+++ b/src/config/settings_reader.cpp
@@ -16,6 +16,7 @@
 using load_balancer::Idempotency;
 using nlohmann::json;
 
+/// The idempotency for a value of the field `effect`.
 Idempotency parse_idempotency(const std::string& effect) {
   if (effect == "retryable") {
     return Idempotency::idempotent;
@@ -29,6 +30,7 @@
   return Idempotency::non_idempotent;
 }
 
+/// The scope for a value of the field `group`.
 DeduplicationScope parse_deduplication_scope(const std::string& group) {
   if (group == "zone") {
     return DeduplicationScope::zone;
@@ -42,6 +44,7 @@
   return DeduplicationScope::global;
 }
 
+/// Reads an entry of `grades`: the settings of a request class.
 load_balancer::ClassSettings read_class(const json& object) {
   if (!object.is_object()) {
     throw field_error("grades", "an entry is no object", "a list of objects");
@@ -76,15 +79,16 @@
   return request_class;
 }
 
+/// Reads the fields that belong to no other section.
 void read_general(const json& object, load_balancer::Settings& settings) {
-  std::string weights;
+  std::string weight_mode;
   read_field(object, "groupSize", settings.gateway_count);
   read_field(object, "myNumber", settings.gateway_index);
   read_field(object, "zone", settings.zone);
   read_field(object, "overShareWorth", settings.over_quota_weight);
-  read_field(object, "weights", weights);
+  read_field(object, "weights", weight_mode);
   read_field(object, "stepNs", settings.event_batch_interval);
-  settings.dynamic_weights = weights == "live";
+  settings.dynamic_weights = weight_mode == "live";
   read_field(object_field(object, "domain"), "warmKeys", settings.key_affinity);
 }
 
@@ -133,11 +137,11 @@
 
 load_balancer::Settings read_settings(const json& object) {
   load_balancer::Settings settings;
-  // Over sockets no endpoint list is pushed, whatever the simulator's settings say: without
-  // polling the gateway would keep the list that it started with.
+  // Discovery doesn't push endpoint lists over sockets, whatever the settings for the simulator
+  // say: without polling the gateway would keep its initial list.
   settings.poll_discovery = true;
-  // HTTP/1.1 carries one request at a time on a connection. With more streams the load balancer
-  // would treat a busy connection as free.
+  // An HTTP/1.1 connection carries one request at a time. With more streams the load balancer would
+  // treat a connection with an attempt in flight as free.
   settings.streams_per_connection = 1;
   read_general(object, settings);
   read_ceilings(object_field(object, "ceilings"), settings);
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -1,4 +1,5 @@
-// The operators' interface: marker files, detection of a sibling process, calls, and the server.
+// Tests of the operators' interface: marker files of hosts in maintenance, detection of a sibling
+// process, handling of calls, and the HTTP server.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -20,8 +21,8 @@
 
 namespace fs = std::filesystem;
 using admin::MaintenanceState;
-/// Changes as reported by a store: a host's id and whether it is in maintenance.
-using Events = std::vector<std::pair<std::string, bool>>;
+/// Reported changes: the id of a host and whether it is now in maintenance.
+using Changes = std::vector<std::pair<std::string, bool>>;
 
 std::set<std::string> file_names_in(const fs::path& directory) {
   std::set<std::string> names;
@@ -34,8 +35,8 @@
 class AdminDirectoryTest : public ::testing::Test {
  protected:
   std::string directory;
-  Events events;
-  Events other_events;
+  Changes changes;
+  Changes other_changes;
 
   void SetUp() override {
     std::string name = ::testing::TempDir() + "admin-XXXXXX";
@@ -43,12 +44,12 @@
     directory = name;
   }
   void TearDown() override { fs::remove_all(directory); }
-  static admin::MaintenanceStore::OnChange record_in(Events& list) {
+  static admin::MaintenanceStore::OnChange record_in(Changes& list) {
     return [&list](const std::string& uid, MaintenanceState state) {
       list.emplace_back(uid, state == MaintenanceState::in_maintenance);
     };
   }
-  admin::MaintenanceStore open_store(Events& list) {
+  admin::MaintenanceStore open_store(Changes& list) {
     return {directory, std::chrono::seconds(60), record_in(list)};
   }
 };
@@ -56,116 +57,119 @@
 class MaintenanceStoreTest : public AdminDirectoryTest {};
 class SiblingDetectorTest : public AdminDirectoryTest {};
 
-TEST(MarkerFileName, RoundTripsAnyId) {
-  for (const std::string text : {"s-5be2a07c", "../../etc", "a b%c", "\xff", ".", "x/y"}) {
-    const std::string name = admin::file_name_of(text);
+TEST(MarkerFileName, ConvertsAnyIdAndBackAndRejectsOtherNames) {
+  for (const std::string id : {"s-5be2a07c", "../../etc", "a b%c", "\xff", ".", "x/y"}) {
+    const std::string name = admin::file_name_of(id);
     EXPECT_EQ(name.find('/'), std::string::npos);
-    EXPECT_EQ(admin::id_of_file_name(name), text);
+    EXPECT_EQ(admin::id_of_file_name(name), id);
   }
-  for (const char* foreign :
+  for (const char* other_name :
        {"", "host-", "x", "host-%", "host-%2", "host-%zz", "host-%61", "host-%FF", "host-a.b"}) {
-    EXPECT_EQ(admin::id_of_file_name(foreign), std::nullopt) << foreign;
+    EXPECT_EQ(admin::id_of_file_name(other_name), std::nullopt) << other_name;
   }
 }
 
-TEST_F(MaintenanceStoreTest, EndsRepeatedMaintenanceWithOneCall) {
-  admin::MaintenanceStore store = open_store(events);
+TEST_F(MaintenanceStoreTest, RepeatedCallsHaveNoFurtherEffect) {
+  admin::MaintenanceStore store = open_store(changes);
   EXPECT_TRUE(store.start_maintenance("s-1"));
   EXPECT_TRUE(store.start_maintenance("s-1"));
   EXPECT_TRUE(store.is_in_maintenance("s-1"));
   EXPECT_TRUE(store.end_maintenance("s-1"));
   EXPECT_TRUE(store.end_maintenance("s-1"));
   EXPECT_FALSE(store.is_in_maintenance("s-1"));
-  EXPECT_EQ(events, (Events{{"s-1", true}, {"s-1", false}}));
+  EXPECT_EQ(changes, (Changes{{"s-1", true}, {"s-1", false}}));
 }
 
-TEST_F(MaintenanceStoreTest, SeesChangesOfOtherProcessOnRefresh) {
-  admin::MaintenanceStore first = open_store(events);
-  admin::MaintenanceStore other = open_store(other_events);
+TEST_F(MaintenanceStoreTest, ReportsChangesOfOtherProcessOnRefresh) {
+  admin::MaintenanceStore first = open_store(changes);
+  admin::MaintenanceStore other = open_store(other_changes);
   first.start_maintenance("s-1");
   other.refresh();
   other.refresh();
-  EXPECT_EQ(other_events, (Events{{"s-1", true}}));
+  EXPECT_EQ(other_changes, (Changes{{"s-1", true}}));
   other.end_maintenance("s-1");
   first.refresh();
-  EXPECT_EQ(events, (Events{{"s-1", true}, {"s-1", false}}));
+  EXPECT_EQ(changes, (Changes{{"s-1", true}, {"s-1", false}}));
 }
 
 TEST_F(MaintenanceStoreTest, ReportsRecordedAndRecentlyReturnedHostsAtStart) {
   {
-    admin::MaintenanceStore first = open_store(events);
+    admin::MaintenanceStore first = open_store(changes);
     first.start_maintenance("s-1");
     first.start_maintenance("s-2");
     first.end_maintenance("s-2");
   }
-  admin::MaintenanceStore later = open_store(other_events);
-  EXPECT_EQ(other_events, (Events{{"s-2", true}, {"s-2", false}, {"s-1", true}}));
+  admin::MaintenanceStore later = open_store(other_changes);
+  EXPECT_EQ(other_changes, (Changes{{"s-2", true}, {"s-2", false}, {"s-1", true}}));
   EXPECT_TRUE(later.is_in_maintenance("s-1"));
-  admin::MaintenanceStore expiring(directory, std::chrono::seconds(-1), record_in(events));
-  other_events.clear();
-  admin::MaintenanceStore last = open_store(other_events);
-  EXPECT_EQ(other_events, (Events{{"s-1", true}}))
-      << "a return to service long ago is no longer reported";
+  admin::MaintenanceStore expiring(directory, std::chrono::seconds(-1), record_in(changes));
+  other_changes.clear();
+  admin::MaintenanceStore last = open_store(other_changes);
+  EXPECT_EQ(other_changes, (Changes{{"s-1", true}}))
+      << "a return to service before the retention period is not reported";
 }
 
-// The recorded state was written by the release before the C++ names changed; its process was
-// killed.
+// The data directory contains the state that a process of an earlier release had written when it
+// was killed. The maintenance of a host must survive the replacement of that release.
 TEST_F(MaintenanceStoreTest, ReadsStateOfEarlierRelease) {
   fs::copy(TEST_DATA_DIRECTORY "/recorded_state", directory, fs::copy_options::recursive);
   const fs::path returned = directory + "/hosts-back/host-s-returned";
-  fs::last_write_time(returned, fs::file_time_type::clock::now());  // a checkout sets its own time
+  // A checkout of the repository sets another time.
+  fs::last_write_time(returned, fs::file_time_type::clock::now());
 
-  admin::MaintenanceStore store = open_store(events);
+  admin::MaintenanceStore store = open_store(changes);
 
   EXPECT_EQ(store.hosts_in_maintenance(), (std::set<std::string>{"rack 4/unit.7", "s-5be2a07c"}));
-  EXPECT_EQ(events, (Events{{"s-returned", true},
-                            {"s-returned", false},
-                            {"rack 4/unit.7", true},
-                            {"s-5be2a07c", true}}));
+  EXPECT_EQ(changes, (Changes{{"s-returned", true},
+                              {"s-returned", false},
+                              {"rack 4/unit.7", true},
+                              {"s-5be2a07c", true}}));
 }
 
 TEST_F(MaintenanceStoreTest, WritesSameFilesAsEarlierRelease) {
-  admin::MaintenanceStore store = open_store(events);
+  admin::MaintenanceStore store = open_store(changes);
   store.start_maintenance("s-5be2a07c");
   store.start_maintenance("rack 4/unit.7");
   store.start_maintenance("s-returned");
   store.end_maintenance("s-returned");
 
   const fs::path recorded = TEST_DATA_DIRECTORY "/recorded_state";
-  for (const char* folder : {"hosts-out", "hosts-back"}) {
-    EXPECT_EQ(file_names_in(directory + "/" + folder), file_names_in(recorded / folder)) << folder;
+  for (const char* subdirectory : {"hosts-out", "hosts-back"}) {
+    EXPECT_EQ(file_names_in(directory + "/" + subdirectory), file_names_in(recorded / subdirectory))
+        << subdirectory;
   }
 }
 
-TEST_F(SiblingDetectorTest, RemovesFileOfEarlierReleaseThatEnded) {
+TEST_F(SiblingDetectorTest, RemovesFileOfEndedProcessOfEarlierRelease) {
   fs::copy(TEST_DATA_DIRECTORY "/recorded_state", directory, fs::copy_options::recursive);
   admin::SiblingDetector detector(directory);
   EXPECT_FALSE(detector.has_sibling());
   EXPECT_FALSE(fs::exists(directory + "/processes/process-Cruujd"));
 }
 
-TEST_F(MaintenanceStoreTest, IgnoresForeignFilesAndFileContent) {
+TEST_F(MaintenanceStoreTest, IgnoresOtherFilesAndContentOfMarkerFiles) {
   fs::create_directories(directory + "/hosts-out/host-dir");
   std::ofstream(directory + "/hosts-out/host-%4") << "x";
   std::ofstream(directory + "/hosts-out/notes.txt") << "x";
   std::ofstream(directory + "/hosts-out/host-s-1") << "{\"half";
-  admin::MaintenanceStore store = open_store(events);
+  admin::MaintenanceStore store = open_store(changes);
   EXPECT_TRUE(store.is_in_maintenance("s-1"));
   EXPECT_FALSE(store.is_in_maintenance("notes.txt"));
 }
 
-TEST_F(MaintenanceStoreTest, ChangesNothingThatCannotBeRecorded) {
-  admin::MaintenanceStore store = open_store(events);
-  EXPECT_FALSE(store.start_maintenance(std::string(300, 'x'))) << "longer than any file name";
-  EXPECT_TRUE(events.empty());
+TEST_F(MaintenanceStoreTest, ChangesNothingWhenStateCannotBeRecorded) {
+  admin::MaintenanceStore store = open_store(changes);
+  EXPECT_FALSE(store.start_maintenance(std::string(300, 'x')))
+      << "the file name would exceed 255 bytes";
+  EXPECT_TRUE(changes.empty());
   std::ofstream(directory + "/file") << "x";
   EXPECT_THROW(
-      admin::MaintenanceStore(directory + "/file", std::chrono::seconds(1), record_in(events)),
+      admin::MaintenanceStore(directory + "/file", std::chrono::seconds(1), record_in(changes)),
       std::system_error);
 }
 
 TEST_F(MaintenanceStoreTest, KeepsStateInMemoryWithoutDirectory) {
-  admin::MaintenanceStore store("", std::chrono::seconds(60), record_in(events));
+  admin::MaintenanceStore store("", std::chrono::seconds(60), record_in(changes));
   EXPECT_TRUE(store.start_maintenance("s-1"));
   store.refresh();
   EXPECT_TRUE(store.is_in_maintenance("s-1"));
@@ -187,7 +191,7 @@
   EXPECT_FALSE(admin::SiblingDetector("").has_sibling());
 }
 
-TEST(BoundedIdSet, ForgetsOldestBeyondCapacity) {
+TEST(BoundedIdSet, RemovesOldestIdBeyondCapacity) {
   admin::BoundedIdSet ids(3);
   for (const char* id : {"a", "b", "c", "c", "d"}) {
     ids.add(id);
@@ -199,7 +203,7 @@
 
 class AdminServiceTest : public AdminDirectoryTest {
  protected:
-  bool takes_clients = true;
+  bool accepts_clients = true;
   std::vector<bool> drain_calls;
   std::vector<bool> sibling_changes;
   std::vector<std::string> log_lines;
@@ -213,10 +217,10 @@
     service = std::make_unique<admin::AdminService>(
         directory, std::chrono::seconds(60),
         admin::AdminService::Controls{
-            [this] { return takes_clients; },
+            [this] { return accepts_clients; },
             [this](bool drained) { drain_calls.push_back(drained); },
             [this](const std::string& uid, bool in_maintenance) {
-              events.emplace_back(uid, in_maintenance);
+              changes.emplace_back(uid, in_maintenance);
             },
             [this](bool has_sibling) { sibling_changes.push_back(has_sibling); },
             [this](const std::string& line) {
@@ -231,11 +235,11 @@
 
 TEST_F(AdminServiceTest, HealthcheckReportsWhetherClientsAreAccepted) {
   EXPECT_EQ(call("GET", "/healthcheck"), 200u);
-  takes_clients = false;
+  accepts_clients = false;
   EXPECT_EQ(call("GET", "/healthcheck"), 503u);
 }
 
-TEST_F(AdminServiceTest, RejectsInvalidCalls) {
+TEST_F(AdminServiceTest, RejectsInvalidCallWithoutEffect) {
   EXPECT_EQ(call("GET", "/"), 404u);
   EXPECT_EQ(call("POST", "/hosts/s-1"), 404u);
   EXPECT_EQ(call("POST", "/hosts/s-1/other"), 404u);
@@ -246,15 +250,15 @@
   EXPECT_EQ(call("POST", "/healthcheck"), 405u);
   EXPECT_EQ(call("GET", "/healthcheck/fail"), 405u);
   EXPECT_EQ(call("GET", "/hosts/s-1/maint"), 405u);
-  EXPECT_TRUE(events.empty() && drain_calls.empty() && log_lines.empty());
+  EXPECT_TRUE(changes.empty() && drain_calls.empty() && log_lines.empty());
 }
 
-TEST_F(AdminServiceTest, ExecutesAndLogsEachAction) {
+TEST_F(AdminServiceTest, ExecutesAndLogsEachStateChange) {
   EXPECT_EQ(call("POST", "/hosts/s%2d1/maint"), 200u) << "an id may be percent-encoded";
   EXPECT_EQ(call("POST", "/hosts/s-1/ready"), 200u);
   EXPECT_EQ(call("POST", "/healthcheck/fail"), 200u);
   EXPECT_EQ(call("POST", "/healthcheck/ok"), 200u);
-  EXPECT_EQ(events, (Events{{"s-1", true}, {"s-1", false}}));
+  EXPECT_EQ(changes, (Changes{{"s-1", true}, {"s-1", false}}));
   EXPECT_EQ(drain_calls, (std::vector<bool>{true, false}));
   EXPECT_EQ(log_lines.size(), 4u);
 }
@@ -262,13 +266,13 @@
 TEST_F(AdminServiceTest, AcceptsCallsForRecordedHostThatIsNotListed) {
   call("POST", "/hosts/s-1/maint");
   service.reset();
-  events.clear();
+  changes.clear();
   start();
-  EXPECT_EQ(events, (Events{{"s-1", true}}));
+  EXPECT_EQ(changes, (Changes{{"s-1", true}}));
   EXPECT_EQ(call("POST", "/hosts/s-1/ready"), 200u);
 }
 
-TEST_F(AdminServiceTest, ReportsStartAndEndOfSibling) {
+TEST_F(AdminServiceTest, ReportsStartAndEndOfSiblingOnce) {
   {
     admin::SiblingDetector other(directory);
     service->refresh();
@@ -300,7 +304,7 @@
   std::shared_ptr<Client> client() { return Client::connect(io, server->local_endpoint()); }
 };
 
-TEST_F(AdminServerTest, RepliesToOneCallAndCloses) {
+TEST_F(AdminServerTest, ClosesConnectionAfterReply) {
   start();
   auto caller = client();
   caller->send("POST /a?x=1 HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n");
@@ -326,13 +330,13 @@
   EXPECT_EQ(caller->responses[0].result_int(), 200u);
 }
 
-TEST_F(AdminServerTest, RepliesBadRequestToMalformedCall) {
+TEST_F(AdminServerTest, RepliesBadRequestToMalformedOrOversizedCall) {
   start();
-  for (const std::string& bad :
+  for (const std::string& malformed :
        {std::string("what?\r\n\r\n"), "GET /" + std::string(9000, 'x'),
         std::string("POST /a HTTP/1.1\r\nContent-Length: 99999\r\n\r\n")}) {
     auto caller = client();
-    caller->send(bad);
+    caller->send(malformed);
     ASSERT_TRUE(until([&] { return !caller->responses.empty(); }));
     EXPECT_EQ(caller->responses[0].result_int(), 400u);
   }
@@ -347,24 +351,24 @@
   EXPECT_EQ(caller->responses[0]["Allow"], "GET");
 }
 
-TEST_F(AdminServerTest, ClosesSilentConnectionsForNewOnes) {
+TEST_F(AdminServerTest, ClosesOldestConnectionWithoutCompleteCallBeyondLimit) {
   limits.max_connections = 3;
   start();
-  std::vector<std::shared_ptr<Client>> silent;
+  std::vector<std::shared_ptr<Client>> idle;
   for (int i = 0; i < 6; ++i) {
-    silent.push_back(client());
+    idle.push_back(client());
     if (i % 2) {
-      silent.back()->send("GET /ha");
+      idle.back()->send("GET /ha");
     }
   }
   auto caller = client();
   caller->send("GET /a HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(until([&] { return !caller->responses.empty(); }));
   EXPECT_LE(server->connections(), 3u);
-  EXPECT_TRUE(until([&] { return silent[0]->closed_by_peer && silent[3]->closed_by_peer; }));
+  EXPECT_TRUE(until([&] { return idle[0]->closed_by_peer && idle[3]->closed_by_peer; }));
 }
 
-TEST_F(AdminServerTest, ClosesSilentConnectionAfterTimeout) {
+TEST_F(AdminServerTest, ClosesConnectionWithoutCallAfterTimeout) {
   limits.connection_timeout = std::chrono::milliseconds(20);
   start();
   auto caller = client();
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -1,4 +1,4 @@
-// Reading the configuration from the environment and the JSON file.
+// Tests of the configuration, read from the environment and a JSON file, and of load reports.
 #include "config/config.hpp"
 
 #include <cstdio>
@@ -19,8 +19,8 @@
 
 /// An environment in which only `name` is set.
 config::Environment environment_with(const std::string& name, const char* value) {
-  return [name, value](const char* asked) {
-    return name == asked ? value : nullptr;
+  return [name, value](const char* variable) {
+    return name == variable ? value : nullptr;
   };
 }
 
@@ -28,17 +28,19 @@
   return config::parse_config(document, empty_environment);
 }
 
-void expect_error(const json& document, const std::string& word) {
+/// Expects an error of one line that contains `field`.
+void expect_error(const json& document, const std::string& field) {
   try {
     parse(document);
-    FAIL() << "accepted: " << word;
+    FAIL() << "no error for field " << field;
   } catch (const ConfigError& error) {
     const std::string line = error.what();
-    EXPECT_NE(line.find(word), std::string::npos) << line;
-    EXPECT_EQ(line.find('\n'), std::string::npos) << "one line: " << line;
+    EXPECT_NE(line.find(field), std::string::npos) << line;
+    EXPECT_EQ(line.find('\n'), std::string::npos) << "more than one line: " << line;
   }
 }
 
+/// The error that reading `document` throws.
 ConfigError error_of(const json& document) {
   try {
     parse(document);
@@ -65,24 +67,24 @@
               config.balancer_settings.allow_cancellation &&
               !config.balancer_settings.allow_hedging);
   EXPECT_EQ(config.balancer_settings.streams_per_connection, 1u)
-      << "on sockets a connection carries one request at a time";
+      << "an HTTP/1.1 connection carries one request at a time, whatever streamsPerConn says";
   ASSERT_TRUE(config.known_endpoints);
   EXPECT_EQ(config.known_endpoints->version, 41);
   EXPECT_EQ(config.known_endpoints->hosts.at(0).state, discovery::ListedEndpointState::draining);
 }
 
-TEST(Config, VariableOverridesFileAtStart) {
+TEST(Config, EnvironmentVariableOverridesFileAtStartup) {
   const config::Config config =
       config::parse_config(config_json(), environment_with("GW_LISTEN", "127.0.0.2:99"));
   EXPECT_EQ(text_of(config.listen), "127.0.0.2:99");
 }
 
-TEST(Config, LeavesAdminAddressAndPassedSocketUnsetByDefault) {
+TEST(Config, HasNoAdminAddressOrPassedSocketByDefault) {
   const config::Config config = parse(config_json());
   EXPECT_FALSE(config.admin || config.passed_socket);
 }
 
-TEST(Config, ReadsAdminAddressAndPassedSocket) {
+TEST(Config, ReadsAdminAddressAndPassedSocketFromFileOrEnvironment) {
   json document = config_json();
   document["admin_addr"] = "127.0.0.2:10250";
 
@@ -92,7 +94,7 @@
   EXPECT_EQ(*config.passed_socket, 3);
 
   config = config::parse_config(document, environment_with("GW_ADMIN_ADDR", "127.0.0.3:1"));
-  EXPECT_EQ(text_of(*config.admin), "127.0.0.3:1") << "a variable overrides the file";
+  EXPECT_EQ(text_of(*config.admin), "127.0.0.3:1") << "the environment variable overrides the file";
 }
 
 void expect_invalid_passed_socket(const json& document, const char* value) {
@@ -100,7 +102,7 @@
                ConfigError);
 }
 
-TEST(Config, RejectsInvalidPassedSocket) {
+TEST(Config, ThrowsOnInvalidPassedSocketDescriptor) {
   json document = config_json();
   document["admin_addr"] = "127.0.0.2:10250";
   for (const char* value : {"2", "x", "3x", "-3", "99999999999"}) {
@@ -109,7 +111,7 @@
   }
 }
 
-TEST(Config, ReportsAddressMistakesInOneLine) {
+TEST(Config, ReportsInvalidAddressInOneLine) {
   expect_error(json::array(), "configuration");
   json document = config_json();
   document.erase("listen");
@@ -124,7 +126,7 @@
   expect_error(document, "GW_ADMIN_ADDR");
 }
 
-TEST(Config, ReportsSettingsMistakesInOneLine) {
+TEST(Config, ReportsInvalidSettingInOneLine) {
   json document = config_json();
   document["settings"].erase("grades");
   expect_error(document, "grades");
@@ -146,7 +148,7 @@
   expect_error(document, "coldShare");
 }
 
-TEST(Config, ReportsSeedLimitAndListMistakesInOneLine) {
+TEST(Config, ReportsInvalidSeedLimitOrEndpointListInOneLine) {
   json document = config_json();
   document["seed"] = "xyz";
   expect_error(document, "seed");
@@ -176,15 +178,15 @@
   EXPECT_EQ(error.field(), "maxAttempts");
   EXPECT_EQ(error.mistake(), "out of range");
   EXPECT_EQ(error.expected(), "a whole number from 0 to 4294967295");
-  EXPECT_EQ(error.file(), "") << "parsed without a file";
+  EXPECT_EQ(error.file(), "") << "the document was not read from a file";
 }
 
-TEST(ConfigError, NamesFileThatWasRead) {
+TEST(ConfigError, NamesConfigurationFile) {
   const std::string path = ::testing::TempDir() + "empty_config.json";
   std::ofstream(path) << "{}";
   try {
     config::load_config(environment_with("GW_CONFIG", path.c_str()));
-    FAIL() << "accepted";
+    FAIL() << "no error for a file without an address";
   } catch (const ConfigError& error) {
     EXPECT_STREQ(error.what(), "GW_LISTEN is not set");
     EXPECT_EQ(error.file(), path);
@@ -192,7 +194,7 @@
   std::remove(path.c_str());
 }
 
-// Operators and their scripts match these lines.
+// Guards against a reworded error message: operators' scripts match these lines.
 TEST(ConfigError, KeepsPrintedLines) {
   EXPECT_STREQ(error_of(json::array()).what(), "the configuration is no object");
 
@@ -229,7 +231,7 @@
   EXPECT_STREQ(error_of(document).what(), "memory_mb: at least 1 is needed");
 }
 
-TEST(Config, RejectsMissingOrInvalidFile) {
+TEST(Config, ThrowsWhenFileIsMissingOrNotJson) {
   EXPECT_THROW(config::load_config(empty_environment), ConfigError);
   EXPECT_THROW(config::load_config([](const char*) { return "/nonexistent/config.json"; }),
                ConfigError);
@@ -239,7 +241,7 @@
   std::remove(path.c_str());
 }
 
-TEST(Config, FileOverridesVariableOnReload) {
+TEST(Config, FileOverridesEnvironmentVariableOnReload) {
   json document = config_json();
   document["discovery"] = "127.0.0.1:7";
   const auto environment = environment_with("GW_DISCOVERY", "127.0.0.1:6");
@@ -258,19 +260,19 @@
   EXPECT_EQ(report->recent_service_time, std::chrono::microseconds(14500));
 }
 
-// Hosts may also use the names that the settings have for these figures.
-TEST(LoadReport, AcceptsSettingsNames) {
+// Hosts may also report these figures under the field names `recent_ms` and `utilization`.
+TEST(LoadReport, AcceptsAlternativeFieldNames) {
   const auto report = http::read_load_report("TEXT latency_ms=14.5, util=0.62");
-  const auto renamed = http::read_load_report("TEXT recent_ms=14.5, utilization=0.62");
-  ASSERT_TRUE(report && renamed);
-  EXPECT_DOUBLE_EQ(renamed->utilization, report->utilization);
-  EXPECT_EQ(renamed->recent_service_time, report->recent_service_time);
+  const auto alternative = http::read_load_report("TEXT recent_ms=14.5, utilization=0.62");
+  ASSERT_TRUE(report && alternative);
+  EXPECT_DOUBLE_EQ(alternative->utilization, report->utilization);
+  EXPECT_EQ(alternative->recent_service_time, report->recent_service_time);
 }
 
-TEST(LoadReport, ReadsPartialReportAndClampsUtilization) {
+TEST(LoadReport, AcceptsReportWithoutServiceTimeAndClampsUtilization) {
   const auto report = http::read_load_report(" TEXT queue=2,util=1.2 ");
   ASSERT_TRUE(report);
-  EXPECT_EQ(report->utilization, 1);  // above the maximum, so clamped
+  EXPECT_EQ(report->utilization, 1);  // clamped to the maximum
   EXPECT_EQ(report->recent_service_time, load_balancer::Duration{});
 }
 
