--- a/src/admin/admin_server.hpp
+++ b/src/admin/admin_server.hpp
@@ -39,6 +39,7 @@
     /// Time from accepting a connection to the end of its reply; then the connection is closed.
     std::chrono::milliseconds connection_timeout{5000};
   };
+  /// Returns the reply to a call. Called on the event loop's thread.
   using Handler = std::function<AdminReply(const AdminCall&)>;
 
   /// Binds the address and starts to accept connections. Throws boost::system::system_error if it
--- a/src/admin/admin_service.hpp
+++ b/src/admin/admin_service.hpp
@@ -28,6 +28,7 @@
   struct Controls {
     std::function<bool()> accepts_clients;
     std::function<void(bool drained)> set_drained;
+    /// Called when the maintenance of a host begins or ends.
     std::function<void(const std::string& uid, bool in_maintenance)> set_maintenance;
     /// Called when the first sibling process has started and when the last one has ended.
     std::function<void(bool has_sibling)> set_has_sibling;
@@ -39,7 +40,7 @@
   /// std::system_error if the directory can't be used.
   AdminService(std::string directory, std::chrono::seconds retention, Controls controls);
 
-  /// Executes a call and logs it if it changes the state.
+  /// Executes a call. Each successful POST is logged.
   AdminReply handle(const AdminCall& call);
   /// To be called for each host in an endpoint list: from then on, calls for the host are accepted.
   void on_endpoint_listed(const std::string& uid) { listed_ids_.add(uid); }
--- a/src/admin/maintenance_store.hpp
+++ b/src/admin/maintenance_store.hpp
@@ -17,6 +17,7 @@
 /// refresh(). Used on the event loop's thread only.
 class MaintenanceStore {
  public:
+  /// Called with each change of a host's state, by whichever process it was made.
   using OnChange = std::function<void(const std::string& uid, MaintenanceState state)>;
 
   /// If `directory` is empty, the state is kept in memory only. Calls `on_change` for the hosts
--- a/src/config/config_error.hpp
+++ b/src/config/config_error.hpp
@@ -18,6 +18,7 @@
     std::string expected;  ///< Which values are valid; empty if `mistake` already says so.
   };
 
+  /// `line` becomes what().
   ConfigError(const std::string& line, Details details)
       : std::runtime_error(line), details_(std::move(details)) {}
 
--- a/src/discovery/discovery_client.hpp
+++ b/src/discovery/discovery_client.hpp
@@ -37,8 +37,10 @@
 class DiscoveryClient : private DiscoveryCall::Observer {
  public:
   struct Callbacks {
+    /// A new snapshot or delta; the list is valid only during the call.
     std::function<void(const EndpointList&)> on_endpoint_update;
-    std::function<void()> on_failure;  ///< The watch has failed; the next one begins with watch().
+    /// The watch has failed; the next one begins with watch().
+    std::function<void()> on_failure;
   };
 
   struct Timeouts {
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -92,6 +92,8 @@
   EXPECT_EQ(changes, (Changes{{"s-1", true}, {"s-1", false}}));
 }
 
+// A new process must not send requests to a host in maintenance, and must treat a host that has
+// just returned as cold.
 TEST_F(MaintenanceStoreTest, ReportsRecordedAndRecentlyReturnedHostsAtStart) {
   {
     admin::MaintenanceStore first = open_store(changes);
@@ -126,6 +128,7 @@
                               {"s-5be2a07c", true}}));
 }
 
+// While a new release replaces an earlier one, the processes of both share the files.
 TEST_F(MaintenanceStoreTest, WritesSameFilesAsEarlierRelease) {
   admin::MaintenanceStore store = open_store(changes);
   store.start_maintenance("s-5be2a07c");
@@ -157,6 +160,7 @@
   EXPECT_FALSE(store.is_in_maintenance("notes.txt"));
 }
 
+// A state that only this process applied would be lost with its end.
 TEST_F(MaintenanceStoreTest, ChangesNothingWhenStateCannotBeRecorded) {
   admin::MaintenanceStore store = open_store(changes);
   EXPECT_FALSE(store.start_maintenance(std::string(300, 'x')))
@@ -175,6 +179,7 @@
   EXPECT_TRUE(store.is_in_maintenance("s-1"));
 }
 
+// A killed process leaves its file behind, which must not count as a sibling.
 TEST_F(SiblingDetectorTest, DetectsRunningSiblingAndRemovesStaleFile) {
   admin::SiblingDetector first(directory);
   EXPECT_FALSE(first.has_sibling());
@@ -263,6 +268,7 @@
   EXPECT_EQ(log_lines.size(), 4u);
 }
 
+// Otherwise the maintenance of a host that discovery doesn't list at the moment could not be ended.
 TEST_F(AdminServiceTest, AcceptsCallsForRecordedHostThatIsNotListed) {
   call("POST", "/hosts/s-1/maint");
   service.reset();
@@ -351,6 +357,7 @@
   EXPECT_EQ(caller->responses[0]["Allow"], "GET");
 }
 
+// Connections without a complete call must not keep operators from connecting.
 TEST_F(AdminServerTest, ClosesOldestConnectionWithoutCompleteCallBeyondLimit) {
   limits.max_connections = 3;
   start();
--- a/tests/config/config_test.cpp
+++ b/tests/config/config_test.cpp
@@ -67,7 +67,7 @@
               config.balancer_settings.allow_cancellation &&
               !config.balancer_settings.allow_hedging);
   EXPECT_EQ(config.balancer_settings.streams_per_connection, 1u)
-      << "an HTTP/1.1 connection carries one request at a time, whatever streamsPerConn says";
+      << "an HTTP/1.1 connection carries one request at a time, even if streamsPerConn is 100";
   ASSERT_TRUE(config.known_endpoints);
   EXPECT_EQ(config.known_endpoints->version, 41);
   EXPECT_EQ(config.known_endpoints->hosts.at(0).state, discovery::ListedEndpointState::draining);
@@ -148,6 +148,7 @@
   expect_error(document, "coldShare");
 }
 
+// Negative limits must not be converted to large unsigned numbers.
 TEST(Config, ReportsInvalidSeedLimitOrEndpointListInOneLine) {
   json document = config_json();
   document["seed"] = "xyz";
@@ -241,6 +242,7 @@
   std::remove(path.c_str());
 }
 
+// A running process keeps the variables that it was started with, so on a reload the file is newer.
 TEST(Config, FileOverridesEnvironmentVariableOnReload) {
   json document = config_json();
   document["discovery"] = "127.0.0.1:7";
--- a/tests/discovery/discovery_paths_test.cpp
+++ b/tests/discovery/discovery_paths_test.cpp
@@ -154,6 +154,8 @@
   }
 };
 
+// Timeouts, backoff and the response's delay add up; together they must not exceed the deadline,
+// whatever the number of lost calls.
 TEST_P(DiscoveryDeadline, UpdatesAfterUnansweredFirstCalls) {
   for (std::size_t lost = 1; lost <= 6; ++lost) {
     expect_update_after_lost_calls(lost, [](std::size_t) { return Reaction::ignores; });
