--- a/src/lab/cli/commands_live.cpp
+++ b/src/lab/cli/commands_live.cpp
@@ -20,7 +20,7 @@
 using ordered = nlohmann::ordered_json;
 
 struct LiveCommand : DayChoice {
-  std::string gateway = beside_this_program("gateway"), out, report;
+  std::string gateway = path_beside_executable("gateway"), out, report;
   bool json = false;
   const RigPlan* rig = nullptr;
 };
@@ -28,7 +28,7 @@
 // The day with gateways whose files go with it; Ctrl-C ends it early.
 LiveResult play_here(const Scenario& scenario, const LiveCommand& o, bool show_each_second,
                      bool demo) {
-  heed_interrupts();
+  install_signal_handlers();
   TemporaryFolder folder;
   LiveOptions options;
   options.gateway = fs::absolute(o.gateway).string();
@@ -37,14 +37,14 @@
   options.demo = demo;
   options.stopped = interrupted;
   options.rig = o.rig;
-  return play_live(scenario, o.seed, options);
+  return run_live(scenario, o.seed, options);
 }
 
 void print_fleet(const FleetCheck::Report& f) {
   const auto use = [](const std::string& what, const FleetCheck::Use& u) {
     std::printf("%s: %llu, at worst %.0f %% of a window's budget, %+.1f uses beyond it\n",
-                what.c_str(), static_cast<unsigned long long>(u.used), 100 * u.worst_share,
-                u.worst_over);
+                what.c_str(), static_cast<unsigned long long>(u.used), 100 * u.max_used_fraction,
+                u.max_excess);
   };
   std::printf("shared state, from %zu logs: %llu requests taken, %llu refused\n", f.logs,
               static_cast<unsigned long long>(f.requests),
@@ -60,14 +60,14 @@
       quantile(f.detect_s, 0.5), quantile(f.detect_s, 0.99), f.detect_s.size(),
       static_cast<unsigned long long>(f.undetected),
       static_cast<unsigned long long>(f.false_deaths),
-      static_cast<unsigned long long>(f.false_doubts), f.healed_s, f.bytes_per_member);
+      static_cast<unsigned long long>(f.false_suspicions), f.recovery_s, f.bytes_per_member);
   std::printf(
       "hosts out by the fleet's word: %zu at once at most, %zu in all; %llu datagrams dropped, "
       "%llu bad "
       "payloads, %llu retries without a right\n",
-      f.hosts_out_most, f.hosts_ever_out.size(), static_cast<unsigned long long>(f.dropped),
+      f.max_hosts_ejected, f.hosts_ever_ejected.size(), static_cast<unsigned long long>(f.dropped),
       static_cast<unsigned long long>(f.bad_payloads),
-      static_cast<unsigned long long>(f.overdrawn));
+      static_cast<unsigned long long>(f.retries_without_token));
 }
 
 void print_spread(const LiveResult& live) {
@@ -76,12 +76,12 @@
         "spread at the hosts, %s: max/mean %.2f, variation %.3f, %u idle, herd peak %.2f, %.3f "
         "handshakes a "
         "request\n",
-        when, s.max_over_mean, s.variation, s.idle, s.herd_peak, s.handshakes);
+        when, s.max_over_mean, s.variation, s.idle, s.herd_peak, s.handshakes_per_request);
   };
   line("the day", live.spread);
   std::printf("herd peak of 2 s before the first fault or move, the median: %.2f\n",
-              live.herd_in_calm);
-  for (const PhaseSpread& phase : live.back) {
+              live.herd_peak_baseline);
+  for (const PhaseSpread& phase : live.recoveries) {
     line(("2 s after " + phase.name).c_str(), phase.spread);
   }
   std::printf(
@@ -108,33 +108,33 @@
     out.emplace_back(text);
   };
   const Spread& s = live.spread;
-  if (s.mean <= 0) {
+  if (s.mean_requests <= 0) {
     out.emplace_back("no request reached a host in the time that is judged");
   }
-  judge("served", live.day.in_time(), bounds.served, true);
+  judge("served", live.run.in_time(), bounds.served, true);
   judge("max_over_mean", s.max_over_mean, bounds.max_over_mean, false);
   judge("variation", s.variation, bounds.variation, false);
   judge("idle_hosts", s.idle, bounds.idle_hosts, false);
-  judge("handshakes_per_request", s.handshakes, bounds.handshakes_per_request, false);
-  double herd = live.back.empty() ? s.herd_peak : 0;
-  for (const PhaseSpread& phase : live.back) {
+  judge("handshakes_per_request", s.handshakes_per_request, bounds.handshakes_per_request, false);
+  double herd = live.recoveries.empty() ? s.herd_peak : 0;
+  for (const PhaseSpread& phase : live.recoveries) {
     herd = std::max(herd, phase.spread.herd_peak);
   }
   judge("herd_peak", herd, bounds.herd_peak, false);
   if (live.fleet) {
     const FleetCheck::Report& f = *live.fleet;
-    judge("retries_over", f.retries.worst_over, bounds.retries_over, false);
+    judge("retries_over", f.retries.max_excess, bounds.retries_over, false);
     for (const auto& [name, use] : f.limits) {
-      judge(("limits_over of " + name).c_str(), use.worst_over, bounds.limits_over, false);
+      judge(("limits_over of " + name).c_str(), use.max_excess, bounds.limits_over, false);
     }
     judge("detect_p99_s", quantile(f.detect_s, 0.99), bounds.detect_p99_s, false);
     judge("false_deaths", static_cast<double>(f.false_deaths), bounds.false_deaths, false);
-    judge("healed_s", f.healed_s, bounds.healed_s, false);
+    judge("healed_s", f.recovery_s, bounds.healed_s, false);
     judge("bytes_per_member_s", f.bytes_per_member, bounds.bytes_per_member_s, false);
-    judge("hosts_out", static_cast<double>(f.hosts_out_most), bounds.hosts_out, false);
-    judge("hosts_ever_out", static_cast<double>(f.hosts_ever_out.size()), bounds.hosts_ever_out,
+    judge("hosts_out", static_cast<double>(f.max_hosts_ejected), bounds.hosts_out, false);
+    judge("hosts_ever_out", static_cast<double>(f.hosts_ever_ejected.size()), bounds.hosts_ever_out,
           true);
-    if (f.overdrawn > 0) {
+    if (f.retries_without_token > 0) {
       out.emplace_back("retries were sent without a right");
     }
     if (f.requests == 0) {
@@ -146,27 +146,28 @@
 
 // NOLINTNEXTLINE(readability-function-size): too long
 int tell(const LiveResult& live, const LiveCommand& o) {
-  ordered results{{"scenario", live.day.scenario},
-                  {"days", ordered::array({to_json(live.day, true)})}};
+  ordered results{{"scenario", live.run.scenario},
+                  {"days", ordered::array({to_json(live.run, true)})}};
   ordered& day = results["days"][0];
-  day["live"] = {{"void", live.is_void},
-                 {"void_reason", live.void_reason},
-                 {"latest_ms", live.latest_ms},
-                 {"gateway_cpu_us_a_request", live.gateway_cpu_us},
-                 {"gateways_died", live.gateways_died},
-                 {"gateway_memory_mb", live.gateway_memory_mb},
-                 {"gateway_descriptors", live.gateway_descriptors},
-                 {"host_connections", live.host_connections},
-                 {"spread", to_json(live.spread)},
-                 {"herd_peak_in_calm", live.herd_in_calm},
-                 {"back", ordered::array()},
-                 {"landed_each_second", by_second(live.landed.requests, live.landed.slot_s)},
-                 {"handshakes_each_second", by_second(live.landed.handshakes, live.landed.slot_s)},
-                 {"events", live.events}};
+  day["live"] = {
+      {"void", live.is_void},
+      {"void_reason", live.void_reason},
+      {"latest_ms", live.max_delay_ms},
+      {"gateway_cpu_us_a_request", live.gateway_cpu_us},
+      {"gateways_died", live.gateways_died},
+      {"gateway_memory_mb", live.gateway_memory_mb},
+      {"gateway_descriptors", live.gateway_descriptors},
+      {"host_connections", live.host_connections},
+      {"spread", to_json(live.spread)},
+      {"herd_peak_in_calm", live.herd_peak_baseline},
+      {"back", ordered::array()},
+      {"landed_each_second", by_second(live.arrivals.requests, live.arrivals.slot_s)},
+      {"handshakes_each_second", by_second(live.arrivals.handshakes, live.arrivals.slot_s)},
+      {"events", live.events}};
   if (live.fleet) {
     day["live"]["fleet"] = to_json(*live.fleet);
   }
-  for (const PhaseSpread& phase : live.back) {
+  for (const PhaseSpread& phase : live.recoveries) {
     day["live"]["back"].push_back({{"name", phase.name},
                                    {"from_s", phase.from_s},
                                    {"to_s", phase.to_s},
@@ -181,9 +182,9 @@
   if (o.json) {
     std::cout << results.dump(1) << '\n';
   } else {
-    print_days({live.day});
+    print_days({live.run});
     std::printf("gateways: %.0f us of CPU a request; the laboratory was %.1f ms late at most\n",
-                live.gateway_cpu_us, live.latest_ms);
+                live.gateway_cpu_us, live.max_delay_ms);
     print_spread(live);
     if (live.gateways_died > 0) {
       std::printf("GATEWAYS DIED: %u\n", live.gateways_died);
@@ -193,13 +194,13 @@
     }
   }
   const std::vector<std::string> missed =
-      o.rig ? missed_bounds(o.rig->within, live) : std::vector<std::string>();
+      o.rig ? missed_bounds(o.rig->bounds, live) : std::vector<std::string>();
   for (const std::string& miss : missed) {
     if (!o.json) {
       std::printf("OUT OF BOUNDS: %s\n", miss.c_str());
     }
   }
-  return live.day.clean() && !live.is_void && live.gateways_died == 0 && missed.empty() ? kYes
+  return live.run.clean() && !live.is_void && live.gateways_died == 0 && missed.empty() ? kYes
                                                                                         : kNo;
 }
 
@@ -219,7 +220,7 @@
   command->footer("Example:\n  gateway-lab live scenarios/rough.json --seed 3 --report rough.html");
   command->callback([o, &result] {
     const Scenario scenario = open_scenario(o->scenario, o->set);
-    check_program(o->gateway);
+    require_executable(o->gateway);
     result = tell(play_here(scenario, *o, !o->json, false), *o);
   });
 }
@@ -253,21 +254,21 @@
   command->callback([o, &result] {
     RigReading reading = load_rig_plan(o->plan);
     std::string wrong;
-    for (const ValidationError& m : reading.mistakes) {
+    for (const ValidationError& m : reading.errors) {
       wrong += (wrong.empty() ? "" : "\n") + o->plan + ": " +
                (m.where.empty() ? "" : m.where + ": ") + m.what;
     }
     if (!wrong.empty()) {
       throw BadInput(wrong);
     }
-    std::vector<std::string> set = reading.plan.set;
+    std::vector<std::string> set = reading.plan.overrides;
     set.insert(set.end(), o->set.begin(), o->set.end());
     const Scenario scenario = open_scenario(reading.plan.scenario_file, set);
     if (o->check) {
       std::printf("%s is good\n", o->plan.c_str());
       return;
     }
-    check_program(o->gateway);
+    require_executable(o->gateway);
     o->rig = &reading.plan;
     result = tell(play_here(scenario, *o, !o->json, false), *o);
     o->rig = nullptr;
@@ -288,13 +289,13 @@
   command->footer("Example:\n  gateway-lab emulate scenarios/quiet.json --folder /tmp");
   command->callback([o] {
     const Scenario scenario = open_scenario(o->scenario, o->set);
-    heed_interrupts();
+    install_signal_handlers();
     boost::asio::io_context io(1);
     LiveClock clock(io);
     LiveFleet fleet(io, clock, scenario, o->seed, nullptr);
     std::printf("%zu hosts on loopback. Start a gateway with:\n", fleet.hosts());
-    for (std::uint32_t g = 0; g < fleet.layout().gateway_zones.size(); ++g) {
-      const std::string zone = scenario.zones[fleet.layout().gateway_zones[g]].name;
+    for (std::uint32_t g = 0; g < fleet.topology().gateway_zones.size(); ++g) {
+      const std::string zone = scenario.zones[fleet.topology().gateway_zones[g]].name;
       const std::string file =
           (fs::absolute(o->folder) / ("gateway-" + std::to_string(g) + ".json")).string();
       const std::string listen = text_of(free_address());
@@ -303,7 +304,7 @@
           nlohmann::json{{"name", "g" + std::to_string(g)},
                          {"listen", listen},
                          {"discovery", text_of(fleet.discovery_of(g))},
-                         {"known", fleet.list(g)},
+                         {"known", fleet.endpoint_list(g)},
                          {"settings",
                           platform_settings(module_settings(scenario, g, zone, o->seed), scenario)}}
               .dump(1));
@@ -318,7 +319,7 @@
     std::printf("The hosts' own addresses are in %s (load @%s).\nCtrl-C ends it.\n", file.c_str(),
                 file.c_str());
     std::fflush(stdout);
-    fleet.begin_troubles([](const Step&) {});
+    fleet.begin_faults([](const Step&) {});
     while (!interrupted()) {
       io.run_for(std::chrono::milliseconds(50));
     }
@@ -343,7 +344,7 @@
     if (scenario.hosts.count < 3) {
       throw BadInput(o->scenario + ": hosts.count: the demonstration needs 3 at least");
     }
-    check_program(o->gateway);
+    require_executable(o->gateway);
     std::printf("%u gateways, %u hosts, clients and discovery on loopback, for %.0f s:\n\n",
                 scenario.gateways.count, scenario.hosts.count, scenario.length_s);
     const LiveResult live = play_here(scenario, *o, true, true);
--- a/src/lab/cli/commands_load.cpp
+++ b/src/lab/cli/commands_load.cpp
@@ -204,7 +204,7 @@
     o->options.to = read_addresses(o->to);
     o->options.deadline = from_millis(o->deadline_ms);
     const std::unique_ptr<Schedule> schedule = schedule_of(*o);
-    heed_interrupts();
+    install_signal_handlers();
     o->options.stopped = interrupted;
     LoadCounts last;
     if (!o->json && !o->tsv) {
@@ -266,7 +266,7 @@
       "what a gateway costs: the same load straight to emulated hosts and through "
       "it; exit 1 if a figure is not sound");
   struct Options {
-    std::string scenario = "scenarios/bare.json", gateway = beside_this_program("gateway");
+    std::string scenario = "scenarios/bare.json", gateway = path_beside_executable("gateway");
     std::vector<unsigned> hosts{10, 100, 1000};
     std::vector<std::string> set;
     double rate = 5000, seconds = 5;
@@ -292,8 +292,8 @@
   command->add_flag("--json", o->json, "print JSON");
   command->footer("Example:\n  gateway-lab overhead --hosts 10,1000 --rate 10000 --repeat 3");
   command->callback([o, &result] {
-    check_program(o->gateway);
-    heed_interrupts();
+    require_executable(o->gateway);
+    install_signal_handlers();
     ordered rows = ordered::array();
     if (!o->json) {
       std::printf("%6s %9s | %8s %8s | %8s %8s | %12s   %s\n", "hosts", "a second", "p50", "p99",
--- a/src/lab/faults/datagram_mesh.cpp
+++ b/src/lab/faults/datagram_mesh.cpp
@@ -31,14 +31,14 @@
     Counts counts;
   };
   struct Flight {
-    Party from, to;
+    MemberIndex from, to;
     std::string data;
   };
 
   State(asio::io_context& context, std::uint64_t seed)
       : io(context), timer(context), draws(seed, "mesh") {}
 
-  void receive(Party to) {
+  void receive(MemberIndex to) {
     Member& m = members[to];
     m.socket.async_receive_from(
         asio::buffer(m.buffer), m.sender,
@@ -53,10 +53,10 @@
         });
   }
 
-  void taken(Party to, std::size_t n) {
+  void taken(MemberIndex to, std::size_t n) {
     const auto from = parties.find(members[to].sender.port());
     if (from == parties.end()) {
-      ++strangers;
+      ++unknown_senders;
       return;
     }
     Counts& c = members[from->second].counts;
@@ -64,13 +64,13 @@
     c.bytes += n;
     const auto it = faults.find({from->second, to});
     const Fault& f = it == faults.end() ? pass : it->second;
-    if (f.silent_there || draws.chance(f.loss)) {
+    if (f.drop_forward || draws.chance(f.loss)) {
       ++c.lost;
       return;
     }
     std::string data(members[to].buffer.data(), n);
-    if (n > 0 && draws.chance(f.spoil)) {
-      ++c.spoilt;
+    if (n > 0 && draws.chance(f.corrupt)) {
+      ++c.corrupted;
       if (draws.chance(0.5)) {
         char& byte = data[draws.below(n)];
         byte = static_cast<char>(byte ^ static_cast<char>(1 << draws.below(8)));
@@ -78,8 +78,8 @@
         data.resize(draws.below(n));
       }
     }
-    if (draws.chance(f.copy)) {
-      ++c.copied;
+    if (draws.chance(f.duplicate)) {
+      ++c.duplicated;
       send(f, {from->second, to, data});
     }
     send(f, {from->second, to, std::move(data)});
@@ -125,11 +125,11 @@
   asio::steady_timer timer;
   Random draws;
   std::deque<Member> members;
-  std::unordered_map<unsigned short, Party> parties;  // by the port they send from
-  std::map<std::pair<Party, Party>, Fault> faults;
+  std::unordered_map<unsigned short, MemberIndex> parties;  // by the port they send from
+  std::map<std::pair<MemberIndex, MemberIndex>, Fault> faults;
   EventQueue<Flight> agenda;
   Time armed = kNever;
-  std::uint64_t strangers = 0;
+  std::uint64_t unknown_senders = 0;
   const Fault pass{};
   bool closed = false;
 };
@@ -147,19 +147,19 @@
   }
 }
 
-DatagramMesh::Party DatagramMesh::add(const udp::endpoint& real) {
-  const Party party = state_->members.size();
+DatagramMesh::MemberIndex DatagramMesh::add(const udp::endpoint& real) {
+  const MemberIndex party = state_->members.size();
   state_->members.emplace_back(state_->io).real = real;
   state_->parties[real.port()] = party;
   state_->receive(party);
   return party;
 }
 
-udp::endpoint DatagramMesh::address(Party party) const {
+udp::endpoint DatagramMesh::address(MemberIndex party) const {
   return state_->members.at(party).socket.local_endpoint();
 }
 
-void DatagramMesh::set(Party from, Party to, const Fault& fault) {
+void DatagramMesh::set_fault(MemberIndex from, MemberIndex to, const Fault& fault) {
   if (fault == Fault{}) {
     state_->faults.erase({from, to});
   } else {
@@ -167,11 +167,11 @@
   }
 }
 
-const DatagramMesh::Counts& DatagramMesh::counts(Party from) const {
+const DatagramMesh::Counts& DatagramMesh::counts(MemberIndex from) const {
   return state_->members.at(from).counts;
 }
-std::uint64_t DatagramMesh::strangers() const {
-  return state_->strangers;
+std::uint64_t DatagramMesh::unknown_senders() const {
+  return state_->unknown_senders;
 }
 
 }  // namespace gateway::lab
--- a/src/lab/faults/datagram_mesh.hpp
+++ b/src/lab/faults/datagram_mesh.hpp
@@ -16,7 +16,7 @@
 
 class DatagramMesh {
  public:
-  using Party = std::size_t;  // in order of add()
+  using MemberIndex = std::size_t;  // in order of add()
 
   // `seed` draws losses, copies, spoilt bits and jitter.
   DatagramMesh(boost::asio::io_context& io, std::uint64_t seed);
@@ -25,19 +25,19 @@
   DatagramMesh(const DatagramMesh&) = delete;
 
   // A party that sends from `real` and is to be reached there.
-  Party add(const boost::asio::ip::udp::endpoint& real);
-  boost::asio::ip::udp::endpoint address(Party party) const;  // its public one
+  MemberIndex add(const boost::asio::ip::udp::endpoint& real);
+  boost::asio::ip::udp::endpoint address(MemberIndex party) const;  // its public one
 
   // From now on, of what `from` sends to `to`. silentThere drops it; cut, reset and rate say
   // nothing here.
-  void set(Party from, Party to, const Fault& fault);
+  void set_fault(MemberIndex from, MemberIndex to, const Fault& fault);
 
   struct Counts {
     std::uint64_t datagrams = 0, bytes = 0;  // taken from its sender, whatever becomes of them
-    std::uint64_t lost = 0, copied = 0, spoilt = 0;
+    std::uint64_t lost = 0, duplicated = 0, corrupted = 0;
   };
-  const Counts& counts(Party from) const;
-  std::uint64_t strangers() const;  // from an address that is no party's
+  const Counts& counts(MemberIndex from) const;
+  std::uint64_t unknown_senders() const;  // from an address that is no party's
 
  private:
   struct State;
--- a/src/lab/faults/fault.cpp
+++ b/src/lab/faults/fault.cpp
@@ -37,15 +37,15 @@
     return;
   }
   if (part == "cut") {
-    f.cut = true;
+    f.disconnect = true;
   } else if (part == "reset") {
     f.reset = true;
   } else if (part == "silent") {
-    f.silent_there = f.silent_back = true;
+    f.drop_forward = f.drop_backward = true;
   } else if (part == "silent-there") {
-    f.silent_there = true;
+    f.drop_forward = true;
   } else if (part == "silent-back") {
-    f.silent_back = true;
+    f.drop_backward = true;
   } else if (const auto d = after("delay="); !d.empty()) {
     const auto plus = d.find('+');
     const char* right = "delay is MS or MS+JITTER_MS, 0 to 600000";
@@ -57,9 +57,9 @@
   } else if (const auto l = after("loss="); !l.empty()) {
     f.loss = number<double>(part, l, 0, 1, "loss is a share, 0 to 1");
   } else if (const auto c = after("copy="); !c.empty()) {
-    f.copy = number<double>(part, c, 0, 1, "copy is a share, 0 to 1");
+    f.duplicate = number<double>(part, c, 0, 1, "copy is a share, 0 to 1");
   } else if (const auto s = after("spoil="); !s.empty()) {
-    f.spoil = number<double>(part, s, 0, 1, "spoil is a share, 0 to 1");
+    f.corrupt = number<double>(part, s, 0, 1, "spoil is a share, 0 to 1");
   } else if (const auto r = after("rate="); !r.empty()) {
     f.k_bytes_per_s =
         number<std::uint32_t>(part, r, 1, 1000000, "rate is kB a second, 1 to 1000000");
@@ -82,17 +82,17 @@
       add(number);
     }
   };
-  if (f.cut) {
+  if (f.disconnect) {
     add("cut");
   }
   if (f.reset) {
     add("reset");
   }
-  if (f.silent_there && f.silent_back) {
+  if (f.drop_forward && f.drop_backward) {
     add("silent");
-  } else if (f.silent_there) {
+  } else if (f.drop_forward) {
     add("silent-there");
-  } else if (f.silent_back) {
+  } else if (f.drop_backward) {
     add("silent-back");
   }
   if (f.delay.count() > 0 || f.jitter.count() > 0) {
@@ -100,8 +100,8 @@
         (f.jitter.count() > 0 ? "+" + std::to_string(f.jitter.count()) : ""));
   }
   share("loss", f.loss);
-  share("copy", f.copy);
-  share("spoil", f.spoil);
+  share("copy", f.duplicate);
+  share("spoil", f.corrupt);
   if (f.k_bytes_per_s > 0) {
     add("rate=" + std::to_string(f.k_bytes_per_s));
   }
@@ -118,7 +118,7 @@
   return fault;
 }
 
-Fault together(const Fault& a, const Fault& b) {
+Fault combine(const Fault& a, const Fault& b) {
   const auto either = [](double x, double y) {
     return 1 - (1 - x) * (1 - y);
   };
@@ -126,15 +126,15 @@
   f.delay += b.delay;
   f.jitter += b.jitter;
   f.loss = either(a.loss, b.loss);
-  f.copy = either(a.copy, b.copy);
-  f.spoil = either(a.spoil, b.spoil);
+  f.duplicate = either(a.duplicate, b.duplicate);
+  f.corrupt = either(a.corrupt, b.corrupt);
   if (b.k_bytes_per_s > 0) {
     f.k_bytes_per_s =
         a.k_bytes_per_s > 0 ? std::min(a.k_bytes_per_s, b.k_bytes_per_s) : b.k_bytes_per_s;
   }
-  f.silent_there |= b.silent_there;
-  f.silent_back |= b.silent_back;
-  f.cut |= b.cut;
+  f.drop_forward |= b.drop_forward;
+  f.drop_backward |= b.drop_backward;
+  f.disconnect |= b.disconnect;
   f.reset |= b.reset;
   return f;
 }
--- a/src/lab/faults/fault.hpp
+++ b/src/lab/faults/fault.hpp
@@ -13,15 +13,15 @@
   std::chrono::milliseconds delay{0},
       jitter{0};    // each piece waits `delay` and up to `jitter` more
   double loss = 0;  // share of the pieces lost: a datagram is gone, TCP waits for a retransmission
-  double copy = 0;  // share of the datagrams that arrive twice; nothing to TCP
+  double duplicate = 0;  // share of the datagrams that arrive twice; nothing to TCP
   // share of the datagrams that arrive with a bit flipped or cut short; nothing to TCP
-  double spoil = 0;
+  double corrupt = 0;
   std::uint32_t k_bytes_per_s = 0;  // 0: as fast as it comes; TCP only
   // Nothing passes that way and nobody is told: a cable pulled. `There`: from the one who dials
   // (TCP) or sends.
-  bool silent_there = false, silent_back = false;
-  bool cut = false;    // TCP: open links are closed, new ones as soon as they are taken
-  bool reset = false;  // TCP: open links are reset (RST), once; what comes after passes
+  bool drop_forward = false, drop_backward = false;
+  bool disconnect = false;  // TCP: open links are closed, new ones as soon as they are taken
+  bool reset = false;       // TCP: open links are reset (RST), once; what comes after passes
 
   bool operator==(const Fault&) const = default;
 };
@@ -34,6 +34,6 @@
 // what would be right.
 Fault read_fault(std::string_view text);
 
-Fault together(const Fault& a, const Fault& b);  // both on one link
+Fault combine(const Fault& a, const Fault& b);  // both on one link
 
 }  // namespace gateway::lab
--- a/src/lab/faults/proxy.cpp
+++ b/src/lab/faults/proxy.cpp
@@ -76,7 +76,7 @@
   }
 
   void taken(const LinkPtr& link) {
-    if (now.cut) {
+    if (now.disconnect) {
       ++counts.refused;
       error_code ignored;
       link->client.close(ignored);
@@ -111,7 +111,7 @@
     links.remove(link);
   }
 
-  bool silent(const Way& way) const { return way.there ? now.silent_there : now.silent_back; }
+  bool silent(const Way& way) const { return way.there ? now.drop_forward : now.drop_backward; }
 
   std::chrono::microseconds wait(std::size_t bytes) {
     std::chrono::microseconds time = now.delay;
@@ -168,7 +168,7 @@
     }
     way.held = silent(way) ? n : 0;
     if (way.held > 0) {
-      return;  // set() passes it on
+      return;  // set_fault() passes it on
     }
     asio::async_write(way.to, asio::buffer(way.piece, n),
                       [self = shared_from_this(), link, &way](error_code ec, std::size_t) {
@@ -179,13 +179,13 @@
                       });
   }
 
-  void set(const Fault& fault) {
+  void set_fault(const Fault& fault) {
     now = fault;
     if (log) {
       log(text_of(fault));
     }
     for (auto open = links; const auto& link : open) {
-      if (fault.cut || fault.reset) {
+      if (fault.disconnect || fault.reset) {
         counts.reset += fault.reset ? 1 : 0;
         drop(link, fault.reset);
         continue;
@@ -224,8 +224,8 @@
 tcp::endpoint FaultProxy::address() const {
   return state_->acceptor.local_endpoint();
 }
-void FaultProxy::set(const Fault& fault) {
-  state_->set(fault);
+void FaultProxy::set_fault(const Fault& fault) {
+  state_->set_fault(fault);
 }
 const Fault& FaultProxy::fault() const {
   return state_->now;
--- a/src/lab/faults/proxy.hpp
+++ b/src/lab/faults/proxy.hpp
@@ -27,7 +27,7 @@
   boost::asio::ip::tcp::endpoint address() const;
   // Holds from now on, also for links that are open. What a silence held back passes once it is
   // over.
-  void set(const Fault& fault);
+  void set_fault(const Fault& fault);
   const Fault& fault() const;
 
   struct Counts {
--- a/src/lab/live/gateway_process.cpp
+++ b/src/lab/live/gateway_process.cpp
@@ -31,12 +31,12 @@
   return e.address().to_string() + ":" + std::to_string(e.port());
 }
 
-GatewayProcess::GatewayProcess(std::string program, Place place)
-    : program_(std::move(program)), place_(std::move(place)) {}
+GatewayProcess::GatewayProcess(std::string program, Config config)
+    : program_(std::move(program)), config_(std::move(config)) {}
 
-std::string GatewayProcess::not_ready() const {
-  return "gateway " + place_.name +
-         " was not ready; its log: " + (place_.folder / "log.txt").string();
+std::string GatewayProcess::not_ready_message() const {
+  return "gateway " + config_.name +
+         " was not ready; its log: " + (config_.folder / "log.txt").string();
 }
 
 GatewayProcess::~GatewayProcess() {
@@ -49,28 +49,28 @@
 
 // NOLINTNEXTLINE(readability-function-size): too long
 void GatewayProcess::start(const json& settings, const json& known, std::uint64_t seed) {
-  std::filesystem::create_directories(place_.folder / "tmp");
+  std::filesystem::create_directories(config_.folder / "tmp");
   char hex[20];
   std::snprintf(hex, sizeof hex, "%016llx", static_cast<unsigned long long>(seed));
-  const std::filesystem::path file = place_.folder / "config.json";
+  const std::filesystem::path file = config_.folder / "config.json";
   std::ofstream(file) << json{
-      {"name", place_.name},
-      {"listen", text_of(place_.listen)},
-      {"discovery", text_of(place_.discovery)},
-      {"admin_addr", text_of(place_.admin)},
+      {"name", config_.name},
+      {"listen", text_of(config_.listen)},
+      {"discovery", text_of(config_.discovery)},
+      {"admin_addr", text_of(config_.admin)},
       {"seed", hex},
       {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 4096}}},
       {"known", known},
       {"settings", settings}}.dump(1);
-  std::vector<std::string> variables{"GW_NAME=" + place_.name,
-                                     "GW_LISTEN=" + text_of(place_.listen),
-                                     "GW_DISCOVERY=" + text_of(place_.discovery),
-                                     "GW_ADMIN_ADDR=" + text_of(place_.admin),
+  std::vector<std::string> variables{"GW_NAME=" + config_.name,
+                                     "GW_LISTEN=" + text_of(config_.listen),
+                                     "GW_DISCOVERY=" + text_of(config_.discovery),
+                                     "GW_ADMIN_ADDR=" + text_of(config_.admin),
                                      "GW_CONFIG=" + file.string(),
-                                     "TMPDIR=" + (place_.folder / "tmp").string(),
+                                     "TMPDIR=" + (config_.folder / "tmp").string(),
                                      "PATH=/usr/bin:/bin"};
-  if (!place_.fleet.empty()) {
-    variables.push_back("GW_FLEET=" + place_.fleet.string());
+  if (!config_.fleet.empty()) {
+    variables.push_back("GW_FLEET=" + config_.fleet.string());
   }
   std::vector<char*> environment;
   environment.reserve(variables.size());
@@ -78,7 +78,7 @@
     environment.push_back(v.data());
   }
   environment.push_back(nullptr);
-  const std::string log = (place_.folder / "log.txt").string();
+  const std::string log = (config_.folder / "log.txt").string();
   char* arguments[] = {program_.data(), nullptr};
   const pid_t laboratory = ::getpid();
   // vfork: hundreds are started within a second, and to copy the laboratory's page tables for each
--- a/src/lab/live/gateway_process.hpp
+++ b/src/lab/live/gateway_process.hpp
@@ -16,14 +16,14 @@
 
 class GatewayProcess {
  public:
-  struct Place {
+  struct Config {
     std::string name;
     boost::asio::ip::tcp::endpoint listen, admin, discovery;
     std::filesystem::path folder;   // its own: configuration, log, TMPDIR
     std::filesystem::path fleet{};  // operator file of its fleet; empty: none
   };
   // Does not start it. `program`: the gateway's executable.
-  GatewayProcess(std::string program, Place place);
+  GatewayProcess(std::string program, Config config);
   ~GatewayProcess();  // kills it if it still runs
   GatewayProcess(const GatewayProcess&) = delete;
 
@@ -40,19 +40,20 @@
   };
   Usage usage() const;  // now; zeros once it has ended
   pid_t id() const { return pid_; }
-  const Place& place() const { return place_; }
+  const Config& config() const { return config_; }
 
-  // A gateway is asked with kReadyAsk whether it takes clients, once each kReadyPause, and answers
-  // 200 then; one that does not within kReadyWithin has failed.
-  static constexpr const char* kReadyAsk =
+  // A gateway is asked with kReadinessRequest whether it takes clients, once each
+  // kReadinessPollInterval, and answers 200 then; one that does not within kReadinessTimeout has
+  // failed.
+  static constexpr const char* kReadinessRequest =
       "GET /up HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
-  static constexpr auto kReadyPause = std::chrono::milliseconds(50);
-  static constexpr auto kReadyWithin = std::chrono::seconds(10);
-  std::string not_ready() const;  // what to say of it then, with where its log is
+  static constexpr auto kReadinessPollInterval = std::chrono::milliseconds(50);
+  static constexpr auto kReadinessTimeout = std::chrono::seconds(10);
+  std::string not_ready_message() const;  // what to say of it then, with where its log is
 
  private:
   std::string program_;
-  Place place_;
+  Config config_;
   pid_t pid_ = -1;
   bool killed_ = false, died_ = false;
 };
--- a/src/lab/live/live_fleet.cpp
+++ b/src/lab/live/live_fleet.cpp
@@ -194,9 +194,9 @@
   running_ = true;
   for (Time t = now(); agenda_.next_at() <= t; t = now()) {
     const Duration behind = t - agenda_.next_at();
-    latest_ = std::max(latest_, behind);
+    max_delay_ = std::max(max_delay_, behind);
     if (behind > kTolerance) {
-      ++late_;
+      ++delayed_count_;
     }
     agenda_.take()();
   }
@@ -821,14 +821,14 @@
 void LiveFleet::set_view(View view) {
   impl_->view = std::move(view);
 }
-json LiveFleet::list(std::uint32_t gateway) const {
+json LiveFleet::endpoint_list(std::uint32_t gateway) const {
   std::vector<Listed> entries;
   return impl_->list_since(0, gateway, entries);
 }
-const FleetTopology& LiveFleet::layout() const {
+const FleetTopology& LiveFleet::topology() const {
   return impl_->layout;
 }
-const Plan& LiveFleet::plan() const {
+const Plan& LiveFleet::fault_schedule() const {
   return impl_->plan;
 }
 std::string LiveFleet::uid_of(std::uint32_t host) const {
@@ -853,7 +853,7 @@
   }
   return sum;
 }
-void LiveFleet::begin_troubles(const std::function<void(const Step&)>& other) {
+void LiveFleet::begin_faults(const std::function<void(const Step&)>& other) {
   const Time begin = impl_->clock.now();
   for (const Step& step : impl_->plan.steps) {
     impl_->clock.at(begin + step.at,
--- a/src/lab/live/live_fleet.hpp
+++ b/src/lab/live/live_fleet.hpp
@@ -30,8 +30,12 @@
   explicit LiveClock(boost::asio::io_context& io);
   Time now() const;
   void at(Time when, std::function<void()> what);
-  Duration latest() const { return latest_; }   // longest that something was done after its time
-  std::uint64_t late() const { return late_; }  // things done more than kTolerance late
+  Duration max_delay() const {
+    return max_delay_;
+  }  // longest that something was done after its time
+  std::uint64_t delayed_count() const {
+    return delayed_count_;
+  }  // things done more than kTolerance late
   static constexpr Duration kTolerance = std::chrono::milliseconds(20);
 
  private:
@@ -42,8 +46,8 @@
   EventQueue<std::function<void()>> agenda_;
   Time armed_ = kNever;
   bool running_ = false;
-  Duration latest_{};
-  std::uint64_t late_ = 0;
+  Duration max_delay_{};
+  std::uint64_t delayed_count_ = 0;
 };
 
 // What hosts and discovery saw, for a referee. Ids are X-Request-Id read as hexadecimal.
@@ -77,10 +81,10 @@
   using View =
       std::function<boost::asio::ip::tcp::endpoint(std::uint32_t gateway, std::uint32_t host)>;
   void set_view(View view);
-  nlohmann::json list(
+  nlohmann::json endpoint_list(
       std::uint32_t gateway) const;  // whole, in discovery's form, as a gateway is told it
-  const FleetTopology& layout() const;
-  const Plan& plan() const;
+  const FleetTopology& topology() const;
+  const Plan& fault_schedule() const;
   std::string uid_of(std::uint32_t host) const;
   std::size_t hosts() const;
   std::size_t holds(std::uint32_t host) const;
@@ -90,7 +94,7 @@
 
   // From now on the scenario's troubles happen. Restarts of gateways are not carried out here:
   // `other` is given each such step.
-  void begin_troubles(const std::function<void(const Step&)>& other);
+  void begin_faults(const std::function<void(const Step&)>& other);
   void stop_host(std::uint32_t host);
   void start_host(std::uint32_t host);  // cold
   void close();                         // of all sockets
--- a/src/lab/live/live_run.cpp
+++ b/src/lab/live/live_run.cpp
@@ -77,22 +77,22 @@
             [this](std::uint32_t h) { return fleet_.endpoint_of(h); }),
         front_(seed, "front") {
     fleet_.set_view([this](std::uint32_t g, std::uint32_t h) { return links_.host_of(g, h); });
-    landed_.slot_s = kSlotS;
+    arrivals_.slot_s = kSlotS;
     // Proxies hold their ports, where freeAddress only names one that was free; so they come first.
     for (std::uint32_t g = 0; g < gateway_count(); ++g) {
-      fleet_.list(g);
+      fleet_.endpoint_list(g);
     }
     if (!rig().fleet.empty()) {
       begin_fleet();
     }
     for (std::uint32_t g = 0; g < gateway_count(); ++g) {
       Gateway& gate = gateways_.emplace_back();
-      gate.zone = fleet_.layout().gateway_zones[g];
+      gate.zone = fleet_.topology().gateway_zones[g];
       gate.process = std::make_unique<GatewayProcess>(
           options.gateway,
-          GatewayProcess::Place{name_of(g), free_address(), free_address(), links_.discovery_of(g),
-                                folder_of(g),
-                                rig().fleet.empty() ? "" : folder_of(g) / "fleet.json"});
+          GatewayProcess::Config{name_of(g), free_address(), free_address(), links_.discovery_of(g),
+                                 folder_of(g),
+                                 rig().fleet.empty() ? "" : folder_of(g) / "fleet.json"});
     }
   }
 
@@ -101,7 +101,7 @@
   // What hosts and discovery saw.
   void connected(Time now, std::uint32_t host) override {
     if (begin_ > Time{}) {
-      landed_.handshake(to_seconds(now - begin_), host);
+      arrivals_.add_handshake(to_seconds(now - begin_), host);
     }
   }
   void arrived(Time now, std::uint64_t id, std::uint32_t host) override {
@@ -112,15 +112,15 @@
     }
     referee_.sent(now, id, gateway, host);
     if (begin_ > Time{}) {
-      landed_.request(to_seconds(now - begin_), host, fleet_.holds(host));
+      arrivals_.add_request(to_seconds(now - begin_), host, fleet_.holds(host));
     }
-    if (host < fleet_.layout().hosts.size() &&
-        fleet_.layout().hosts[host].zone != gateways_[gateway].zone) {
+    if (host < fleet_.topology().hosts.size() &&
+        fleet_.topology().hosts[host].zone != gateways_[gateway].zone) {
       ++tally_.crossings;
     }
   }
   void reached(Time now, std::uint64_t id, std::uint64_t attempt, std::uint32_t host) override {
-    const HostPlace& place = fleet_.layout().hosts[host % fleet_.layout().hosts.size()];
+    const HostPlace& place = fleet_.topology().hosts[host % fleet_.topology().hosts.size()];
     referee_.reached(now, id, attempt, host, place.zone, place.cell, now);
   }
   void not_run(std::uint64_t id, std::uint64_t attempt) override {
@@ -172,7 +172,7 @@
     return options_.rig ? *options_.rig : kNone;
   }
   std::uint32_t gateway_count() const {
-    return static_cast<std::uint32_t>(fleet_.layout().gateway_zones.size());
+    return static_cast<std::uint32_t>(fleet_.topology().gateway_zones.size());
   }
   static std::string name_of(std::uint32_t g) { return "g" + std::to_string(g); }
   std::filesystem::path folder_of(std::uint32_t g) const {
@@ -219,9 +219,9 @@
   double last_earned_ = 0, last_asked_ = 0;
   std::uint64_t last_tries_ = 0;
   std::string note_;
-  Landed landed_;
+  HostArrivals arrivals_;
   std::vector<std::string> events_;
-  std::vector<PhaseSpread> back_;
+  std::vector<PhaseSpread> recoveries_;
   double connections_sum_ = 0, connections_count_ = 0;
   std::vector<std::pair<std::string, double>> kills_;  // gateways, in Unix seconds
   std::vector<std::pair<double, double>> splits_;
@@ -276,29 +276,29 @@
     return;
   }
   const nlohmann::json file = nlohmann::json::parse(rig().fleet);
-  FleetPromise promise;
+  FleetBounds bounds;
   const double slot_s = file.value("slot_ms", 1000.0) / 1000;
   if (const auto it = file.find("retries"); it != file.end()) {
-    promise.retry_share = it->value("share", -1.0);
-    promise.retry_lapse_s = slot_s * it->value("lapse_slots", 10.0);
+    bounds.retry_ratio = it->value("share", -1.0);
+    bounds.retry_token_lifetime_s = slot_s * it->value("lapse_slots", 10.0);
   }
-  promise.limit_lapse_s = slot_s * file.value("limit_lapse_slots", 3.0);
+  bounds.limit_token_lifetime_s = slot_s * file.value("limit_lapse_slots", 3.0);
   if (const auto it = file.find("limits"); it != file.end()) {
     for (const auto& l : *it) {
-      promise.limits[l.value("name", "")] = l.value("per_s", 0.0);
+      bounds.limits[l.value("name", "")] = l.value("per_s", 0.0);
     }
   }
-  promise.bytes_from_s = rig().within.bytes_from_s;
-  FleetCheck check(promise);
-  check.ends(talk_ends_);
+  bounds.bytes_from_s = rig().bounds.bytes_from_s;
+  FleetCheck check(bounds);
+  check.set_end(talk_ends_);
   for (const auto& [name, at] : kills_) {
-    check.killed(name, at);
+    check.add_kill(name, at);
   }
   for (const auto& [from, to] : splits_) {
-    check.split(from, to);
+    check.add_partition(from, to);
   }
   for (std::uint32_t g = 0; g < gateway_count(); ++g) {
-    check.file(name_of(g), folder_of(g) / "fleet.jsonl");
+    check.add_file(name_of(g), folder_of(g) / "fleet.jsonl");
   }
   result.fleet = check.report();
 }
@@ -311,7 +311,7 @@
                                                  : "discovery") +
                               " of gateways " + f.gateways_text;
     const Fault& fault = f.fault;
-    if (f.to_gateways() && (fault.silent_there || fault.silent_back)) {
+    if (f.to_gateways() && (fault.drop_forward || fault.drop_backward)) {
       clock_.at(begin_ + from_seconds(f.from_s),
                 [this, &f] { splits_.emplace_back(unix_seconds(), unix_seconds() + f.for_s); });
     }
@@ -331,7 +331,7 @@
 
 void LiveDay::make_move(const RigMove& move) {
   event(move.what_text + " gateways " + move.gateways_text);
-  const std::vector<std::uint32_t> who = move.gateways.of(gateway_count());
+  const std::vector<std::uint32_t> who = move.gateways.below(gateway_count());
   for (std::size_t i = 0; i < who.size(); ++i) {
     const double part = static_cast<double>(i) / static_cast<double>(who.size());
     const double turn = move.over_s * part;
@@ -342,7 +342,7 @@
   }
   const Time over = clock_.now() + from_seconds(move.over_s + move.for_s + move.back_over_s);
   clock_.at(over, [this, &move, who, over] {
-    await_back(move.what_text, who, over + GatewayProcess::kReadyWithin);
+    await_back(move.what_text, who, over + GatewayProcess::kReadinessTimeout);
   });
 }
 
@@ -395,7 +395,7 @@
   if (all) {
     event(name + ": all back");
     const double from = to_seconds(clock_.now() - begin_);
-    back_.push_back({std::move(name), from, from + kBackS, {}});
+    recoveries_.push_back({std::move(name), from, from + kBackS, {}});
   } else if (clock_.now() < until) {
     clock_.at(clock_.now() + kLookAgain,
               [this, name, who, until] { await_back(name, who, until); });
@@ -441,10 +441,10 @@
 
 void LiveDay::judge_spread(LiveResult& result) {
   const auto over = [&](double from, double to) {
-    return spread_of(landed_, from, to, hosts_running(from, to));
+    return spread_of(arrivals_, from, to, hosts_running(from, to));
   };
-  result.spread = over(rig().within.from_s, s_.length_s);
-  for (PhaseSpread& phase : back_) {
+  result.spread = over(rig().bounds.from_s, s_.length_s);
+  for (PhaseSpread& phase : recoveries_) {
     phase.spread = over(phase.from_s, phase.to_s);
   }
   double calm = s_.length_s;
@@ -454,20 +454,20 @@
   for (const RigMove& m : rig().moves) {
     calm = std::min(calm, m.at_s);
   }
-  for (const TroubleTime& t : fleet_.plan().times) {
+  for (const TroubleTime& t : fleet_.fault_schedule().times) {
     calm = std::min(calm, to_seconds(t.from));
   }
   std::vector<double> peaks;
-  for (double from = rig().within.from_s; from + kBackS <= calm; from += kBackS) {
+  for (double from = rig().bounds.from_s; from + kBackS <= calm; from += kBackS) {
     peaks.push_back(over(from, from + kBackS).herd_peak);
   }
   if (!peaks.empty()) {
     std::nth_element(peaks.begin(), peaks.begin() + static_cast<std::ptrdiff_t>(peaks.size() / 2),
                      peaks.end());
-    result.herd_in_calm = peaks[peaks.size() / 2];
+    result.herd_peak_baseline = peaks[peaks.size() / 2];
   }
-  result.back = std::move(back_);
-  result.landed = std::move(landed_);
+  result.recoveries = std::move(recoveries_);
+  result.arrivals = std::move(arrivals_);
   result.events = std::move(events_);
   result.host_connections = connections_count_ > 0 ? connections_sum_ / connections_count_ : 0;
 }
@@ -481,30 +481,30 @@
   const std::uint64_t seed = XXH3_64bits_withSeed(start, sizeof start, seed_);
   const load_balancer::Settings module = module_settings(s_, number, s_.zones[g.zone].name, seed);
   referee_.gateway_started(number);
-  g.process->start(platform_settings(module, s_), fleet_.list(number), seed);
+  g.process->start(platform_settings(module, s_), fleet_.endpoint_list(number), seed);
   ask_ready(number, clock_.now());
 }
 
 void LiveDay::ask_ready(std::uint32_t number, Time since) {
   Gateway& g = gateways_[number];
-  if (!g.process->running() || clock_.now() - since > GatewayProcess::kReadyWithin) {
+  if (!g.process->running() || clock_.now() - since > GatewayProcess::kReadinessTimeout) {
     failed_ = true;
-    failure_ = g.process->not_ready();
+    failure_ = g.process->not_ready_message();
     return;
   }
   auto exchange = std::make_shared<Exchange>(
-      std::make_unique<tcp::socket>(io_), GatewayProcess::kReadyAsk, nullptr,
+      std::make_unique<tcp::socket>(io_), GatewayProcess::kReadinessRequest, nullptr,
       [this, number, since](const Exchange::Outcome& o, std::unique_ptr<tcp::socket>) {
         Gateway& gate = gateways_[number];
         if (o.status == 200) {
           gate.ready = gate.seen_alive = true;
           gate.killed = false;
         } else {
-          clock_.at(clock_.now() + GatewayProcess::kReadyPause,
+          clock_.at(clock_.now() + GatewayProcess::kReadinessPollInterval,
                     [this, number, since] { ask_ready(number, since); });
         }
       });
-  exchange->begin(g.process->place().listen);
+  exchange->begin(g.process->config().listen);
 }
 
 void LiveDay::next_first_try() {
@@ -642,7 +642,7 @@
         end_try(t, o.written ? TryEnd::failed : TryEnd::unreachable, {});
       });
   t->exchange = exchange;
-  exchange->begin(g.process->place().listen);
+  exchange->begin(g.process->config().listen);
 }
 
 void LiveDay::end_try(const std::shared_ptr<Try>& t, TryEnd end, Duration retry_after) {
@@ -677,7 +677,7 @@
             note_ = "operator's call " + target + " got " + std::to_string(o.status);
           }
         });
-    exchange->begin(g.process->place().admin);
+    exchange->begin(g.process->config().admin);
     clock_.at(clock_.now() + kOperator, [exchange] { exchange->abandon(); });
   }
 }
@@ -723,8 +723,8 @@
   std::size_t held = 0;
   tally_.load.resize(fleet_.hosts());
   for (std::uint32_t h = 0; h < fleet_.hosts(); ++h) {
-    const auto cores =
-        static_cast<float>(fleet_.layout().hosts[h % fleet_.layout().hosts.size()].traits.cores);
+    const auto cores = static_cast<float>(
+        fleet_.topology().hosts[h % fleet_.topology().hosts.size()].traits.cores);
     const bool running = fleet_.running(h);
     tally_.load[h].push_back(running ? static_cast<float>(fleet_.holds(h)) / cores : -1.0f);
     up += running, held += fleet_.holds(h);
@@ -769,14 +769,14 @@
   }
 
   begin_ = clock_.now() + kSettleIn;
-  traffic_ = std::make_unique<Traffic>(s_, seed_, fleet_.layout().rate, begin_);
+  traffic_ = std::make_unique<Traffic>(s_, seed_, fleet_.topology().rate, begin_);
   clients_ = std::make_unique<Clients>(s_, seed_, begin_, tally_);
   if (options_.show_each_second) {
     std::printf("%6s %10s %11s %9s %9s %7s\n", "second", "tries", "in time", "refused", "held",
                 "hosts up");
   }
   clock_.at(begin_, [this] {
-    fleet_.begin_troubles([this](const Step& step) {
+    fleet_.begin_faults([this](const Step& step) {
       for (std::uint32_t g : step.who) {
         Gateway& gate = gateways_[g];
         if (step.kind == StepKind::gateway_start) {
@@ -824,29 +824,29 @@
   const double cpu = children_cpu_seconds() - cpu_before;
   // what was useful is not seen from here
   tally_.work_done = tally_.work_useful = fleet_.work_done();
-  tally_.troubles = fleet_.plan().times;
-  result.day = DayResult{s_.name,
+  tally_.troubles = fleet_.fault_schedule().times;
+  result.run = DayResult{s_.name,
                          seed_,
                          tally_,
                          referee_.counts(),
                          referee_.first(),
                          to_seconds(clock_.now() - begin_),
                          tries_};
-  for (Breach& b : result.day.first_breaches) {
+  for (Breach& b : result.run.first_breaches) {
     b.at -= begin_;
   }
   judge_spread(result);
   check_fleet(result);
   result.gateway_cpu_us = tries_ > 0 ? 1e6 * cpu / static_cast<double>(tries_) : 0;
-  result.latest_ms = to_seconds(clock_.latest()) * 1e3;
-  const auto late = static_cast<double>(clock_.late());
-  if (clock_.latest() > kVoid ||
+  result.max_delay_ms = to_seconds(clock_.max_delay()) * 1e3;
+  const auto late = static_cast<double>(clock_.delayed_count());
+  if (clock_.max_delay() > kVoid ||
       late > kVoidShare * static_cast<double>(std::max<std::uint64_t>(tries_, 100))) {
     result.is_void = true;
     char text[160];
     std::snprintf(text, sizeof text,
                   "the laboratory ran up to %.0f ms late, %.0f times over %.0f ms",
-                  result.latest_ms, late, to_seconds(LiveClock::kTolerance) * 1e3);
+                  result.max_delay_ms, late, to_seconds(LiveClock::kTolerance) * 1e3);
     result.void_reason = text;
   }
   return result;
@@ -854,7 +854,7 @@
 
 }  // namespace
 
-LiveResult play_live(const Scenario& scenario, std::uint64_t seed, const LiveOptions& options) {
+LiveResult run_live(const Scenario& scenario, std::uint64_t seed, const LiveOptions& options) {
   return LiveDay(scenario, seed, options).play();
 }
 
--- a/src/lab/live/live_run.hpp
+++ b/src/lab/live/live_run.hpp
@@ -36,28 +36,28 @@
 };
 
 struct LiveResult {
-  explicit LiveResult(DayResult d) : day(std::move(d)) {}
-  DayResult day;
+  explicit LiveResult(DayResult r) : run(std::move(r)) {}
+  DayResult run;
   bool is_void = false;  // the laboratory itself ran late: the figures mean nothing
   std::string void_reason;
-  double latest_ms = 0;       // longest that the laboratory did something after its time
+  double max_delay_ms = 0;    // longest that the laboratory did something after its time
   double gateway_cpu_us = 0;  // of all gateways, for each request
   double gateway_memory_mb = 0,
          gateway_descriptors = 0;  // of one process, at the end: the most of any
   double host_connections = 0;     // open at one host: mean over hosts and seconds
   unsigned gateways_died = 0;      // without having been killed by the laboratory
   bool stopped = false;
-  Landed landed;  // at the hosts
-  Spread spread;  // from the plan's `from_s` on
+  HostArrivals arrivals;  // at the hosts
+  Spread spread;          // from the plan's `from_s` on
   // herd peak of 2 s before the first fault or move, the median: what chance does
-  double herd_in_calm = 0;
-  std::vector<PhaseSpread> back;            // the 2 s after a move's gateways were all back
+  double herd_peak_baseline = 0;
+  std::vector<PhaseSpread> recoveries;      // the 2 s after a move's gateways were all back
   std::optional<FleetCheck::Report> fleet;  // where the gateways shared state
   std::vector<std::string> events;  // faults and moves as carried out: "12.000 kill gateways 0-6"
 };
 
 // Throws std::runtime_error with one line when a gateway can't be started or is not ready within
-// GatewayProcess::kReadyWithin.
-LiveResult play_live(const Scenario& scenario, std::uint64_t seed, const LiveOptions& options);
+// GatewayProcess::kReadinessTimeout.
+LiveResult run_live(const Scenario& scenario, std::uint64_t seed, const LiveOptions& options);
 
 }  // namespace gateway::lab
--- a/src/lab/live/real_time.cpp
+++ b/src/lab/live/real_time.cpp
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-void heed_interrupts() {
+void install_signal_handlers() {
   ::signal(SIGPIPE, SIG_IGN);
   for (int signal : {SIGINT, SIGTERM}) {
     ::signal(signal, [](int) { came = true; });
@@ -27,12 +27,12 @@
   return came;
 }
 
-std::string beside_this_program(const char* name) {
+std::string path_beside_executable(const char* name) {
   std::error_code ignored;
   return (fs::read_symlink("/proc/self/exe", ignored).parent_path() / name).string();
 }
 
-void check_program(const std::string& path) {
+void require_executable(const std::string& path) {
   if (::access(path.c_str(), X_OK) != 0) {
     throw BadInput(path + ": is no program; name the gateway with --gateway");
   }
--- a/src/lab/live/real_time.hpp
+++ b/src/lab/live/real_time.hpp
@@ -8,11 +8,11 @@
 namespace gateway::lab {
 
 // from now on Ctrl-C and SIGTERM do not end the process; SIGPIPE is ignored
-void heed_interrupts();
+void install_signal_handlers();
 bool interrupted();  // one of them came
 
-std::string beside_this_program(const char* name);
-void check_program(const std::string& path);  // throws BadInput if it can't be run
+std::string path_beside_executable(const char* name);
+void require_executable(const std::string& path);  // throws BadInput if it can't be run
 
 // A folder of its own under the temporary one, gone with the object. Throws BadInput if it can't be
 // made.
--- a/src/lab/load/overhead.cpp
+++ b/src/lab/load/overhead.cpp
@@ -41,7 +41,7 @@
       std::unique_ptr<LiveFleet> fleet;
       try {
         fleet = std::make_unique<LiveFleet>(io, clock, scenario, seed, nullptr);
-        Address a{fleet->list(0), fleet->discovery_of(0), {}};
+        Address a{fleet->endpoint_list(0), fleet->discovery_of(0), {}};
         for (std::uint32_t h = 0; h < fleet->hosts(); ++h) {
           a.hosts.push_back(fleet->endpoint_of(h));
         }
@@ -52,7 +52,7 @@
       while (!over_) {
         io.run_for(std::chrono::milliseconds(20));
       }
-      late_ms_ = to_seconds(clock.latest()) * 1e3;
+      late_ms_ = to_seconds(clock.max_delay()) * 1e3;
     });
     try {
       address_ = address.get();
@@ -88,7 +88,7 @@
   if (ec) {
     return false;
   }
-  asio::write(socket, asio::buffer(std::string_view(GatewayProcess::kReadyAsk)), ec);
+  asio::write(socket, asio::buffer(std::string_view(GatewayProcess::kReadinessRequest)), ec);
   std::string answer;
   if (!ec) {
     asio::read_until(socket, asio::dynamic_buffer(answer), "\r\n", ec);
@@ -131,14 +131,14 @@
       module_settings(scenario, 0, scenario.zones.front().name, seed);
   gateway.start(platform_settings(module, scenario), emulator.address().list, seed);
   const auto since = std::chrono::steady_clock::now();
-  while (!is_ready(gateway.place().listen)) {
+  while (!is_ready(gateway.config().listen)) {
     if (!gateway.running() ||
-        std::chrono::steady_clock::now() - since > GatewayProcess::kReadyWithin) {
-      throw std::runtime_error(gateway.not_ready());
+        std::chrono::steady_clock::now() - since > GatewayProcess::kReadinessTimeout) {
+      throw std::runtime_error(gateway.not_ready_message());
     }
-    std::this_thread::sleep_for(GatewayProcess::kReadyPause);
+    std::this_thread::sleep_for(GatewayProcess::kReadinessPollInterval);
   }
-  load.to = {gateway.place().listen};
+  load.to = {gateway.config().listen};
   load.connections = o.connections;
   send(kWarmUpSeconds);
   const double before = gateway.cpu_seconds();
--- a/src/lab/rig/fleet_check.cpp
+++ b/src/lab/rig/fleet_check.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-bool FleetCheck::line(const std::string& by, std::string_view text) {
+bool FleetCheck::add_line(const std::string& by, std::string_view text) {
   const json v = json::parse(text.begin(), text.end(), nullptr, false);
   if (!v.is_object() || !v.contains("t") || !v.contains("ev")) {
     return false;
@@ -45,7 +45,7 @@
       const double bytes = v["sent_bytes"].get<double>();
       Traffic& t = traffic_.try_emplace(life, Traffic{at, at, at, bytes, bytes}).first->second;
       t.last_at = at, t.last_bytes = bytes;
-      if (at - t.start_at < promise_.bytes_from_s) {
+      if (at - t.start_at < bounds_.bytes_from_s) {
         t.first_at = at, t.first_bytes = bytes;
       }
       for (const char* gauge : {"overdrawn", "bad_payloads", "dropped"}) {
@@ -60,13 +60,13 @@
   return true;
 }
 
-bool FleetCheck::file(const std::string& by, const std::filesystem::path& path) {
+bool FleetCheck::add_file(const std::string& by, const std::filesystem::path& path) {
   std::ifstream in(path);
   if (!in) {
     return false;
   }
   for (std::string text; std::getline(in, text);) {
-    line(by, text);
+    add_line(by, text);
   }
   return true;
 }
@@ -78,7 +78,7 @@
                                   const std::vector<std::pair<double, double>>& earned,
                                   double per_second, double lapse_s) const {
   Use out;
-  const double lapse = lapse_s + promise_.slack_s;
+  const double lapse = lapse_s + bounds_.slack_s;
   std::vector<std::pair<double, double>> use_sums;
   std::vector<std::pair<double, double>> earn_sums{{-1e18, 0}};
   double sum = 0;
@@ -105,8 +105,8 @@
     const double start = before - earned_until(at - lapse) - per_second * (at - lapse);
     least = first ? start : std::min(least, start);
     first = false;
-    const double over = total - earned_until(at + promise_.slack_s) - per_second * at - least;
-    out.worst_over = out.worst_over == 0 && starts.empty() ? over : std::max(out.worst_over, over);
+    const double over = total - earned_until(at + bounds_.slack_s) - per_second * at - least;
+    out.max_excess = out.max_excess == 0 && starts.empty() ? over : std::max(out.max_excess, over);
     starts.emplace_back(at, before);
     // The share, over windows of some lengths: all of them would take too long.
     for (const double length : {1.0, 3.0, 10.0, 30.0}) {
@@ -114,11 +114,11 @@
           std::lower_bound(starts.begin(), starts.end(), at - length,
                            [](const auto& s, double value) { return s.first < value; });
       const double uses = total - from->second;
-      const double allowed = earned_until(at + promise_.slack_s) -
+      const double allowed = earned_until(at + bounds_.slack_s) -
                              earned_until(from->first - lapse) +
                              per_second * (at - from->first + lapse);
       if (uses >= kManyUses && allowed > 0) {
-        out.worst_share = std::max(out.worst_share, uses / allowed);
+        out.max_used_fraction = std::max(out.max_used_fraction, uses / allowed);
       }
     }
     before = total;
@@ -161,7 +161,7 @@
       r.false_deaths += !rightly(s);
     }
     if (s.to == "suspect") {
-      r.false_doubts += !rightly(s);
+      r.false_suspicions += !rightly(s);
     }
   }
   for (const At& k : kills_) {
@@ -205,7 +205,7 @@
     }
     at = s.at, lives = s.to != "dead";
   }
-  r.healed_s = 0;
+  r.recovery_s = 0;
   for (const auto& [pair, view] : views) {
     const bool killed =
         std::any_of(kills_.begin(), kills_.end(), [&, name = pair.second](const At& k) {
@@ -214,7 +214,7 @@
     if (killed) {
       continue;
     }
-    r.healed_s = view.second ? std::max(r.healed_s, view.first - end) : 1e9;
+    r.recovery_s = view.second ? std::max(r.recovery_s, view.first - end) : 1e9;
     if (!view.second) {
       return;
     }
@@ -238,7 +238,7 @@
       retries.emplace_back(u.at, u.retries);
     }
     if (u.requests > 0) {
-      earned.emplace_back(u.at, std::max(promise_.retry_share, 0.0) * u.requests);
+      earned.emplace_back(u.at, std::max(bounds_.retry_ratio, 0.0) * u.requests);
     }
     for (const auto& [name, n] : u.admitted) {
       if (n > 0) {
@@ -246,16 +246,16 @@
       }
     }
   }
-  if (promise_.retry_share >= 0) {
-    r.retries = judge(retries, earned, 0, promise_.retry_lapse_s);
+  if (bounds_.retry_ratio >= 0) {
+    r.retries = judge(retries, earned, 0, bounds_.retry_token_lifetime_s);
   }
-  for (const auto& [name, perSecond] : promise_.limits) {
-    r.limits[name] = judge(admitted[name], {}, perSecond, promise_.limit_lapse_s);
+  for (const auto& [name, perSecond] : bounds_.limits) {
+    r.limits[name] = judge(admitted[name], {}, perSecond, bounds_.limit_token_lifetime_s);
   }
   judge_members(r);
   r.refused = refused_;
   for (const auto& [life, gauges] : gauges_) {
-    r.overdrawn += gauges.at("overdrawn");
+    r.retries_without_token += gauges.at("overdrawn");
     r.bad_payloads += gauges.at("bad_payloads");
     r.dropped += gauges.at("dropped");
   }
@@ -272,11 +272,11 @@
   std::map<std::string, std::set<std::string>> by;
   for (const Out& o : out) {
     if (o.out) {
-      by[o.host].insert(o.by), r.hosts_ever_out.insert(o.host);
+      by[o.host].insert(o.by), r.hosts_ever_ejected.insert(o.host);
     } else if (by[o.host].erase(o.by); by[o.host].empty()) {
       by.erase(o.host);
     }
-    r.hosts_out_most = std::max(r.hosts_out_most, by.size());
+    r.max_hosts_ejected = std::max(r.max_hosts_ejected, by.size());
   }
   return r;
 }
@@ -292,7 +292,8 @@
 
 json to_json(const FleetCheck::Report& r) {
   const auto use = [](const FleetCheck::Use& u) {
-    return json{{"used", u.used}, {"worst_over", u.worst_over}, {"worst_share", u.worst_share}};
+    return json{
+        {"used", u.used}, {"worst_over", u.max_excess}, {"worst_share", u.max_used_fraction}};
   };
   json limits = json::object();
   for (const auto& [name, u] : r.limits) {
@@ -304,7 +305,7 @@
           {"refused", r.refused},
           {"retries", use(r.retries)},
           {"limits", limits},
-          {"overdrawn", r.overdrawn},
+          {"overdrawn", r.retries_without_token},
           {"bad_payloads", r.bad_payloads},
           {"dropped", r.dropped},
           {"detect_p50_s", quantile(r.detect_s, 0.5)},
@@ -312,11 +313,11 @@
           {"detections", r.detect_s.size()},
           {"undetected", r.undetected},
           {"false_deaths", r.false_deaths},
-          {"false_doubts", r.false_doubts},
-          {"healed_s", r.healed_s},
+          {"false_doubts", r.false_suspicions},
+          {"healed_s", r.recovery_s},
           {"bytes_per_member_s", r.bytes_per_member},
-          {"hosts_out_most", r.hosts_out_most},
-          {"hosts_ever_out", r.hosts_ever_out.size()}};
+          {"hosts_out_most", r.max_hosts_ejected},
+          {"hosts_ever_out", r.hosts_ever_ejected.size()}};
 }
 
 }  // namespace gateway::lab
--- a/src/lab/rig/fleet_check.hpp
+++ b/src/lab/rig/fleet_check.hpp
@@ -14,11 +14,11 @@
 
 namespace gateway::lab {
 
-struct FleetPromise {       // what the operator file bounds
-  double retry_share = -1;  // further attempts a request; negative: not judged
-  double retry_lapse_s = 10;
+struct FleetBounds {        // what the operator file bounds
+  double retry_ratio = -1;  // further attempts a request; negative: not judged
+  double retry_token_lifetime_s = 10;
   std::map<std::string, double> limits;  // requests a second, by name
-  double limit_lapse_s = 3;
+  double limit_token_lifetime_s = 3;
   // Two logs tell of one moment in lines up to so long apart: the bounds are widened by it.
   double slack_s = 0.3;
   double bytes_from_s = 0;  // bytes are counted from so long after a process's first figure of them
@@ -26,40 +26,43 @@
 
 class FleetCheck {
  public:
-  explicit FleetCheck(FleetPromise promise) : promise_(std::move(promise)) {}
+  explicit FleetCheck(FleetBounds bounds) : bounds_(std::move(bounds)) {}
 
   // One line of a gateway's log, as src/fleet writes it; `by` is its name. False: not one (a torn
   // last line).
-  bool line(const std::string& by, std::string_view text);
-  bool file(const std::string& by, const std::filesystem::path& path);  // false: it can't be read
+  bool add_line(const std::string& by, std::string_view text);
+  bool add_file(const std::string& by,
+                const std::filesystem::path& path);  // false: it can't be read
   // What the rig did, in Unix seconds: these are the deaths that are right.
-  void killed(const std::string& name, double at) { kills_.push_back({name, at}); }
+  void add_kill(const std::string& name, double at) { kills_.push_back({name, at}); }
   // From here on until `to` members that don't hear each other may rightly hold each other for
   // dead.
-  void split(double from, double to) { splits_.emplace_back(from, to); }
+  void add_partition(double from, double to) { splits_.emplace_back(from, to); }
 
-  void ends(double at) { end_ = at; }  // what comes later is the fleet's planned end: not judged
+  void set_end(double at) { end_ = at; }  // what comes later is the fleet's planned end: not judged
 
   struct Use {
     // uses beyond what the window allowed, the worst of all windows; under 0: to spare
-    double worst_over = 0;
-    double worst_share = 0;  // used over allowed, the worst of all windows with 20 uses or more
+    double max_excess = 0;
+    double max_used_fraction =
+        0;  // used over allowed, the worst of all windows with 20 uses or more
     std::uint64_t used = 0;
   };
   struct Report {
     Use retries;
     std::map<std::string, Use> limits;
-    std::uint64_t requests = 0, refused = 0, overdrawn = 0, bad_payloads = 0, dropped = 0;
+    std::uint64_t requests = 0, refused = 0, retries_without_token = 0, bad_payloads = 0,
+                  dropped = 0;
     std::vector<double>
         detect_s;  // for each kill and each that lived on: until it doubted the killed one
     std::uint64_t undetected = 0;  // pairs that never did
     // lines that hold one for dead that was neither killed nor split off
     std::uint64_t false_deaths = 0;
-    std::uint64_t false_doubts = 0;  // the same for suspicions
-    double healed_s = -1;  // after the last split: until no member holds a living one for dead
-    double bytes_per_member = 0;     // sent a second, the mean of the members
-    std::size_t hosts_out_most = 0;  // at once, over all gateways' words
-    std::set<std::string> hosts_ever_out;
+    std::uint64_t false_suspicions = 0;  // the same for suspicions
+    double recovery_s = -1;  // after the last split: until no member holds a living one for dead
+    double bytes_per_member = 0;        // sent a second, the mean of the members
+    std::size_t max_hosts_ejected = 0;  // at once, over all gateways' words
+    std::set<std::string> hosts_ever_ejected;
     std::size_t logs = 0, lines = 0;
   };
   Report report() const;
@@ -94,7 +97,7 @@
   bool rightly(const Seen& seen) const;
   void judge_members(Report& r) const;
 
-  FleetPromise promise_;
+  FleetBounds bounds_;
   double end_ = 1e18;
   std::vector<At> kills_;
   std::vector<std::pair<double, double>> splits_;
--- a/src/lab/rig/links.cpp
+++ b/src/lab/rig/links.cpp
@@ -15,7 +15,7 @@
       discoveries_(gateways),
       groups_(gateways) {
   for (std::size_t f = 0; f < plan.faults.size(); ++f) {
-    for (const std::uint32_t g : plan.faults[f].gateways.of(gateways)) {
+    for (const std::uint32_t g : plan.faults[f].gateways.below(gateways)) {
       if (plan.faults[f].to_hosts()) {
         groups_[g].push_back(f);
       } else if (!plan.faults[f].to_gateways() && !discoveries_[g]) {
@@ -32,13 +32,13 @@
 RigLinks::Endpoint RigLinks::host_of(std::uint32_t gateway, std::uint32_t host) {
   const Group& group = groups_.at(gateway);
   if (std::none_of(group.begin(), group.end(),
-                   [&](std::size_t f) { return plan_.faults[f].hosts.has(host); })) {
+                   [&](std::size_t f) { return plan_.faults[f].hosts.contains(host); })) {
     return host_(host);
   }
   std::unique_ptr<FaultProxy>& proxy = hosts_[{group, host}];
   if (!proxy) {
     proxy = std::make_unique<FaultProxy>(io_, host_(host), seed_ ^ (0x10000ULL + hosts_.size()));
-    proxy->set(at(group, host));
+    proxy->set_fault(at(group, host));
   }
   return proxy->address();
 }
@@ -49,8 +49,9 @@
   if (changed.to_hosts()) {
     for (auto& [place, proxy] : hosts_) {
       const auto& [group, host] = place;
-      if (changed.hosts.has(host) && std::find(group.begin(), group.end(), fault) != group.end()) {
-        proxy->set(at(group, host));
+      if (changed.hosts.contains(host) &&
+          std::find(group.begin(), group.end(), fault) != group.end()) {
+        proxy->set_fault(at(group, host));
       }
     }
     return;
@@ -59,17 +60,17 @@
   if (changed.to_gateways()) {
     for (std::uint32_t a = 0; mesh_ && a < gateways; ++a) {
       for (std::uint32_t b = 0; b < gateways; ++b) {
-        if (a != b && changed.gateways.has(a) && changed.others.has(b)) {
-          mesh_->set(a, b, between(a, b));
-          mesh_->set(b, a, between(b, a));
+        if (a != b && changed.gateways.contains(a) && changed.others.contains(b)) {
+          mesh_->set_fault(a, b, between(a, b));
+          mesh_->set_fault(b, a, between(b, a));
         }
       }
     }
     return;
   }
   for (std::uint32_t g = 0; g < gateways; ++g) {
-    if (changed.gateways.has(g)) {
-      discoveries_[g]->set(at(g));
+    if (changed.gateways.contains(g)) {
+      discoveries_[g]->set_fault(at(g));
     }
   }
 }
@@ -89,12 +90,12 @@
     if (!on_[f] || !fault.to_gateways()) {
       continue;
     }
-    if (fault.gateways.has(from) && fault.others.has(to)) {
-      sum = together(sum, fault.fault);
-    } else if (fault.gateways.has(to) && fault.others.has(from)) {
+    if (fault.gateways.contains(from) && fault.others.contains(to)) {
+      sum = combine(sum, fault.fault);
+    } else if (fault.gateways.contains(to) && fault.others.contains(from)) {
       Fault back = fault.fault;
-      std::swap(back.silent_there, back.silent_back);
-      sum = together(sum, back);
+      std::swap(back.drop_forward, back.drop_backward);
+      sum = combine(sum, back);
     }
   }
   return sum;
@@ -103,8 +104,8 @@
 Fault RigLinks::at(std::uint32_t gateway) const {
   Fault sum;
   for (std::size_t f = 0; f < on_.size(); ++f) {
-    if (on_[f] && plan_.faults[f].to == "discovery" && plan_.faults[f].gateways.has(gateway)) {
-      sum = together(sum, plan_.faults[f].fault);
+    if (on_[f] && plan_.faults[f].to == "discovery" && plan_.faults[f].gateways.contains(gateway)) {
+      sum = combine(sum, plan_.faults[f].fault);
     }
   }
   return sum;
@@ -113,8 +114,8 @@
 Fault RigLinks::at(const Group& group, std::uint32_t host) const {
   Fault sum;
   for (const std::size_t f : group) {
-    if (on_[f] && plan_.faults[f].hosts.has(host)) {
-      sum = together(sum, plan_.faults[f].fault);
+    if (on_[f] && plan_.faults[f].hosts.contains(host)) {
+      sum = combine(sum, plan_.faults[f].fault);
     }
   }
   return sum;
--- a/src/lab/rig/plan.cpp
+++ b/src/lab/rig/plan.cpp
@@ -108,7 +108,7 @@
 
 }  // namespace
 
-Pickout::Pickout(std::string_view text) {
+IndexSet::IndexSet(std::string_view text) {
   for (std::size_t at = 0; at <= text.size();) {
     const std::size_t comma = std::min(text.find(',', at), text.size());
     std::string_view part = text.substr(at, comma - at);
@@ -140,7 +140,7 @@
   }
 }
 
-bool Pickout::has(std::uint32_t number) const {
+bool IndexSet::contains(std::uint32_t number) const {
   bool in = false;
   for (const Part& p : parts_) {
     const bool meant = number >= p.first && number <= p.last && number % p.every == p.offset;
@@ -152,10 +152,10 @@
   return in;
 }
 
-std::vector<std::uint32_t> Pickout::of(std::uint32_t count) const {
+std::vector<std::uint32_t> IndexSet::below(std::uint32_t count) const {
   std::vector<std::uint32_t> out;
   for (std::uint32_t i = 0; i < count; ++i) {
-    if (has(i)) {
+    if (contains(i)) {
       out.push_back(i);
     }
   }
@@ -166,7 +166,7 @@
 RigReading read_rig_plan(const json& object) {
   RigReading out;
   RigPlan& p = out.plan;
-  std::vector<ValidationError>& m = out.mistakes;
+  std::vector<ValidationError>& m = out.errors;
   read_fields(object, kPlan, {"set", "faults", "moves", "within", "fleet"}, "", p, m);
   if (!object.is_object()) {
     return out;
@@ -179,7 +179,7 @@
       m.push_back({"set", "should be an object {\"FIELD\": VALUE, ...}"});
     } else {
       for (const auto& [field, value] : set->items()) {
-        p.set.push_back(field + "=" + value.dump());
+        p.overrides.push_back(field + "=" + value.dump());
       }
     }
   }
@@ -199,16 +199,16 @@
       m.push_back(
           {at + ".to", R"(is "gateways", which tell each other nothing: "fleet" is missing)"});
     }
-    f.others = Pickout(f.others_text);
-    f.gateways = Pickout(f.gateways_text);
-    f.hosts = Pickout(f.hosts_text);
+    f.others = IndexSet(f.others_text);
+    f.gateways = IndexSet(f.gateways_text);
+    f.hosts = IndexSet(f.hosts_text);
     f.fault = read_fault(f.fault_text);
     if (f.for_s <= 0) {
       m.push_back({at + ".for_s", "is missing; how long the fault lasts, in s"});
     }
   });
   list(object, "moves", kMove, p.moves, m, [&](RigMove& move, const std::string& at) {
-    move.gateways = Pickout(move.gateways_text);
+    move.gateways = IndexSet(move.gateways_text);
     if (move.what_text == "pause") {
       move.what = RigMove::What::pause;
     } else if (move.what_text == "kill") {
@@ -220,7 +220,7 @@
     }
   });
   if (const auto within = object.find("within"); within != object.end()) {
-    read_fields(*within, kBounds, {}, "within", p.within, m);
+    read_fields(*within, kBounds, {}, "within", p.bounds, m);
   }
   return out;
 }
--- a/src/lab/rig/plan.hpp
+++ b/src/lab/rig/plan.hpp
@@ -20,13 +20,13 @@
 // Some of a numbered row, as text: parts joined by commas, each "all", "N", "A-B", or
 // "EVERY:OFFSET" (those whose number modulo EVERY is OFFSET); one part with a "!" before it is
 // taken away from the others.
-class Pickout {
+class IndexSet {
  public:
-  Pickout() = default;  // none
+  IndexSet() = default;  // none
   // Throws std::invalid_argument with one line on what would be right.
-  explicit Pickout(std::string_view text);
-  bool has(std::uint32_t number) const;
-  std::vector<std::uint32_t> of(std::uint32_t count) const;  // those under `count`
+  explicit IndexSet(std::string_view text);
+  bool contains(std::uint32_t number) const;
+  std::vector<std::uint32_t> below(std::uint32_t count) const;  // those under `count`
 
  private:
   struct Part {
@@ -41,7 +41,7 @@
   double from_s = 0, for_s = 0;
   std::string gateways_text = "all", hosts_text = "all", others_text = "all", to = "discovery";
   std::string fault_text = "cut";
-  Pickout gateways, hosts, others;
+  IndexSet gateways, hosts, others;
   Fault fault;
   bool to_hosts() const { return to == "hosts"; }
   bool to_gateways() const { return to == "gateways"; }
@@ -51,7 +51,7 @@
   double at_s = 0, for_s = 1;
   double over_s = 0, back_over_s = 0;  // the turns, and the ways back, are spread over so long
   std::string gateways_text = "all", what_text = "kill";
-  Pickout gateways;
+  IndexSet gateways;
   enum class What { pause, kill, stop } what = What::kill;
 };
 
@@ -71,17 +71,17 @@
 
 struct RigPlan {
   std::string name = "unnamed", about, scenario_file;
-  std::vector<std::string> set;  // assignments to the scenario's fields, as --set takes them
+  std::vector<std::string> overrides;  // assignments to the scenario's fields, as --set takes them
   std::vector<RigFault> faults;
   std::vector<RigMove> moves;
   std::string
       fleet;  // operator file of the gateways as JSON, without names and addresses; empty: none
-  RigBounds within;
+  RigBounds bounds;
 };
 
 struct RigReading {
   RigPlan plan;
-  std::vector<ValidationError> mistakes;  // if any, the plan is not to be used
+  std::vector<ValidationError> errors;  // if any, the plan is not to be used
 };
 RigReading read_rig_plan(const nlohmann::json& json);
 RigReading load_rig_plan(
--- a/src/lab/rig/spread.cpp
+++ b/src/lab/rig/spread.cpp
@@ -8,7 +8,7 @@
 namespace gateway::lab {
 namespace {
 
-using Table = Landed::Table;
+using Table = HostArrivals::Table;
 
 double cell_of(const Table& table, std::size_t slot, std::size_t host) {
   return slot < table.size() && host < table[slot].size() ? table[slot][host] : 0;
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-std::uint32_t& Landed::cell(Table& table, double at, std::uint32_t host) {
+std::uint32_t& HostArrivals::cell(Table& table, double at, std::uint32_t host) {
   const auto slot = static_cast<std::size_t>(at / slot_s);
   if (table.size() <= slot) {
     table.resize(slot + 1);
@@ -27,16 +27,16 @@
   return table[slot][host];
 }
 
-void Landed::request(double at, std::uint32_t host, std::size_t holds) {
+void HostArrivals::add_request(double at, std::uint32_t host, std::size_t holds) {
   if (at < 0) {
     return;
   }
   ++cell(requests, at, host);
-  std::uint32_t& most = cell(peak, at, host);
+  std::uint32_t& most = cell(peak_active, at, host);
   most = std::max(most, static_cast<std::uint32_t>(holds));
 }
 
-void Landed::handshake(double at, std::uint32_t host) {
+void HostArrivals::add_handshake(double at, std::uint32_t host) {
   if (at >= 0) {
     ++cell(handshakes, at, host);
   }
@@ -59,7 +59,7 @@
   return out;
 }
 
-Spread spread_of(const Landed& landed, double from_s, double to_s,
+Spread spread_of(const HostArrivals& landed, double from_s, double to_s,
                  const std::vector<std::size_t>& hosts) {
   const auto from = static_cast<std::size_t>(std::max(from_s / landed.slot_s + 1e-9, 0.0));
   const auto to = std::min(static_cast<std::size_t>(std::max(to_s / landed.slot_s + 1e-9, 0.0)),
@@ -80,7 +80,7 @@
   for (std::size_t s = from; s < to; ++s) {
     for (std::size_t i = 0; i < chosen.size(); ++i) {
       totals[i] += cell_of(landed.requests, s, chosen[i]);
-      peaks[i] = std::max(peaks[i], cell_of(landed.peak, s, chosen[i]));
+      peaks[i] = std::max(peaks[i], cell_of(landed.peak_active, s, chosen[i]));
       handshakes += cell_of(landed.handshakes, s, chosen[i]);
     }
   }
@@ -89,15 +89,15 @@
   if (all <= 0) {
     return out;
   }
-  out.mean = all / n;
-  out.handshakes = handshakes / all;
+  out.mean_requests = all / n;
+  out.handshakes_per_request = handshakes / all;
   double squares = 0;
   for (double t : totals) {
-    squares += (t - out.mean) * (t - out.mean);
-    out.idle += t < out.mean / 4 ? 1 : 0;
+    squares += (t - out.mean_requests) * (t - out.mean_requests);
+    out.idle += t < out.mean_requests / 4 ? 1 : 0;
   }
-  out.max_over_mean = *std::max_element(totals.begin(), totals.end()) / out.mean;
-  out.variation = std::sqrt(squares / n) / out.mean;
+  out.max_over_mean = *std::max_element(totals.begin(), totals.end()) / out.mean_requests;
+  out.variation = std::sqrt(squares / n) / out.mean_requests;
   const double mean_peak = std::accumulate(peaks.begin(), peaks.end(), 0.0) / n;
   if (mean_peak > 0) {
     out.herd_peak = *std::max_element(peaks.begin(), peaks.end()) / mean_peak;
@@ -110,8 +110,8 @@
           {"variation", s.variation},
           {"idle_hosts", s.idle},
           {"herd_peak", s.herd_peak},
-          {"mean", s.mean},
-          {"handshakes_per_request", s.handshakes}};
+          {"mean", s.mean_requests},
+          {"handshakes_per_request", s.handshakes_per_request}};
 }
 
 }  // namespace gateway::lab
--- a/tests/fleet_state/fleet_state_test.cpp
+++ b/tests/fleet_state/fleet_state_test.cpp
@@ -71,14 +71,14 @@
     running_start_[i] = 0;
   }
   FleetCheck::Report report() const {
-    lab::FleetPromise bounds;
-    bounds.retry_share = config.retry_ratio.value();
-    bounds.retry_lapse_s = config.retry_token_lifetime_slots;
+    lab::FleetBounds bounds;
+    bounds.retry_ratio = config.retry_ratio.value();
+    bounds.retry_token_lifetime_s = config.retry_token_lifetime_slots;
     bounds.limits = {{"all", config.limits[0].requests_per_second}};
-    bounds.limit_lapse_s = config.limit_token_lifetime_slots;
+    bounds.limit_token_lifetime_s = config.limit_token_lifetime_slots;
     FleetCheck check(bounds);
     for (const auto& [member, line] : log_lines) {
-      check.line(member, line);
+      check.add_line(member, line);
     }
     return check.report();
   }
@@ -208,8 +208,8 @@
 
 void expect_budgets_hold(const SharedFleet& fleet, std::uint64_t seed) {
   const FleetCheck::Report report = fleet.report();
-  EXPECT_LE(report.retries.worst_over, 0) << "seed " << seed;
-  EXPECT_LE(report.limits.at("all").worst_over, 0) << "seed " << seed;
+  EXPECT_LE(report.retries.max_excess, 0) << "seed " << seed;
+  EXPECT_LE(report.limits.at("all").max_excess, 0) << "seed " << seed;
   EXPECT_GT(report.limits.at("all").used, 37 * 70u) << "the limit admits too few requests";
   EXPECT_GT(report.retries.used, 200u);
   std::uint64_t overdrawn = 0;
@@ -250,10 +250,10 @@
 TEST(FleetState, CheckerDetectsEachInjectedFault) {
   for (const InjectedFault fault :
        {InjectedFault::retries_without_token, InjectedFault::transfers_counted_twice}) {
-    EXPECT_GT(check_with(fault).retries.worst_over, 50) << static_cast<int>(fault);
+    EXPECT_GT(check_with(fault).retries.max_excess, 50) << static_cast<int>(fault);
   }
   const FleetCheck::Report report = check_with(InjectedFault::dead_members_not_counted);
-  EXPECT_GT(report.limits.at("all").worst_over, 50);
+  EXPECT_GT(report.limits.at("all").max_excess, 50);
 }
 
 // Without transfers, the members with failures could use only the tokens that they issue
@@ -285,10 +285,10 @@
   const FleetCheck::Report report = fleet.report();
   EXPECT_GT(report.limits.at("all").used, 20 * 25 * 6 / 10u)
       << "limit of 20 per second, of which a member issues itself 0.6 within three slots";
-  EXPECT_LE(report.limits.at("all").worst_over, 0);
+  EXPECT_LE(report.limits.at("all").max_excess, 0);
   EXPECT_GT(report.retries.used, report.requests / 20 * 4 / 10)
       << "0.05 tokens for each admitted request";
-  EXPECT_LE(report.retries.worst_over, 0);
+  EXPECT_LE(report.retries.max_excess, 0);
 }
 
 TEST(FleetState, LimitIsOpenOrClosedUntilBootstrappedAsConfigured) {
--- a/tests/lab/faults_test.cpp
+++ b/tests/lab/faults_test.cpp
@@ -76,7 +76,7 @@
   void set(const Fault& fault) {
     std::promise<void> done;
     asio::post(io, [&] {
-      proxy.set(fault);
+      proxy.set_fault(fault);
       done.set_value();
     });
     done.get_future().wait();
@@ -189,7 +189,7 @@
     EXPECT_THROW(read_fault(text), std::invalid_argument) << text;
   }
   const Fault both =
-      together(read_fault("delay=10,loss=0.5"), read_fault("delay=5+5,loss=0.5,silent-there"));
+      combine(read_fault("delay=10,loss=0.5"), read_fault("delay=5+5,loss=0.5,silent-there"));
   EXPECT_EQ(text_of(both), "silent-there,delay=15+5,loss=0.75");
 }
 
@@ -241,7 +241,7 @@
   run_until([&] { return parties[1]->got.size() == 1; });
   ASSERT_EQ(parties[1]->got.size(), 1u);
   EXPECT_EQ(parties[1]->got[0].first, mesh.address(0).port());
-  mesh.set(0, 1, read_fault("silent"));
+  mesh.set_fault(0, 1, read_fault("silent"));
   send(0, 1, "lost");
   send(1, 0, "there");
   send(0, 2, "other");
@@ -249,21 +249,21 @@
   EXPECT_EQ(parties[0]->got.size(), 1u);
   EXPECT_EQ(parties[2]->got.size(), 1u);
   EXPECT_EQ(mesh.counts(0).lost, 1u);
-  mesh.set(0, 1, {});
+  mesh.set_fault(0, 1, {});
   send(0, 1, "again");
   run_until([&] { return parties[1]->got.size() == 2; });
   ASSERT_EQ(parties[1]->got.size(), 2u);
   EXPECT_EQ(parties[1]->got[1].second, "again");
   asio::ip::udp::socket stranger(io, {asio::ip::address_v4::loopback(), 0});
   stranger.send_to(asio::buffer(std::string("who")), mesh.address(1));
-  run_until([&] { return mesh.strangers() == 1; });
-  EXPECT_EQ(mesh.strangers(), 1u);
+  run_until([&] { return mesh.unknown_senders() == 1; });
+  EXPECT_EQ(mesh.unknown_senders(), 1u);
   EXPECT_EQ(parties[1]->got.size(), 2u);
 }
 
 TEST_F(Mesh, LosesCopiesSpoilsAndDelaysAsItIsTold) {
-  mesh.set(0, 1, read_fault("loss=0.3,copy=0.2"));
-  mesh.set(0, 2, read_fault("spoil=1,delay=20+20"));
+  mesh.set_fault(0, 1, read_fault("loss=0.3,copy=0.2"));
+  mesh.set_fault(0, 2, read_fault("spoil=1,delay=20+20"));
   const auto begin = std::chrono::steady_clock::now();
   for (int i = 0; i < 200; ++i) {
     send(0, 1, "datagram " + std::to_string(i));
@@ -271,22 +271,23 @@
   send(0, 2, "spoilt");
   run_until([&] { return mesh.counts(0).datagrams == 201 && parties[2]->got.size() == 1; });
   const auto& c = mesh.counts(0);
-  EXPECT_EQ(parties[1]->got.size() + c.lost, 200 + c.copied);
+  EXPECT_EQ(parties[1]->got.size() + c.lost, 200 + c.duplicated);
   EXPECT_NEAR(static_cast<double>(c.lost), 60, 25);
-  EXPECT_GT(c.copied, 10u);
+  EXPECT_GT(c.duplicated, 10u);
   ASSERT_EQ(parties[2]->got.size(), 1u);
   EXPECT_NE(parties[2]->got[0].second, "spoilt");
   EXPECT_GE(std::chrono::steady_clock::now() - begin, 20ms);
 }
 
 TEST(Spread, TellsAnEvenFleetFromAHerdAndAnIdleHost) {
-  const auto counted = [](Landed::Table requests, Landed::Table peaks) {
-    Landed landed;
+  const auto counted = [](HostArrivals::Table requests, HostArrivals::Table peaks) {
+    HostArrivals landed;
     landed.requests = std::move(requests);
-    landed.peak = std::move(peaks);
+    landed.peak_active = std::move(peaks);
     return landed;
   };
-  const Landed even = counted({{10, 10, 10, 10}, {10, 10, 10, 10}}, {{2, 2, 2, 2}, {2, 2, 2, 2}});
+  const HostArrivals even =
+      counted({{10, 10, 10, 10}, {10, 10, 10, 10}}, {{2, 2, 2, 2}, {2, 2, 2, 2}});
   const Spread e = spread_of(even, 0, 2);
   EXPECT_DOUBLE_EQ(e.max_over_mean, 1);
   EXPECT_DOUBLE_EQ(e.variation, 0);
@@ -294,9 +295,9 @@
   EXPECT_DOUBLE_EQ(e.herd_peak, 1);
 
   // one host takes nearly all, three are idle
-  const Landed herd = counted({{37, 1, 1, 1}}, {{12, 1, 1, 2}});
+  const HostArrivals herd = counted({{37, 1, 1, 1}}, {{12, 1, 1, 2}});
   const Spread h = spread_of(herd, 0, 1);
-  EXPECT_DOUBLE_EQ(h.mean, 10);
+  EXPECT_DOUBLE_EQ(h.mean_requests, 10);
   EXPECT_DOUBLE_EQ(h.max_over_mean, 3.7);
   EXPECT_EQ(h.idle, 3u);
   EXPECT_DOUBLE_EQ(h.herd_peak, 3);
@@ -304,30 +305,30 @@
 
   const Spread some = spread_of(herd, 0, 1, {1, 2});  // the chosen hosts alone
   EXPECT_DOUBLE_EQ(some.max_over_mean, 1);
-  EXPECT_EQ(spread_of(herd, 1, 1).mean, 0);           // an empty window
+  EXPECT_EQ(spread_of(herd, 1, 1).mean_requests, 0);  // an empty window
   EXPECT_EQ(spread_of(herd, 0, 1, {0, 9}).idle, 1u);  // one that nothing ever reached
 
-  Landed counting;
+  HostArrivals counting;
   counting.slot_s = 0.1;
-  counting.request(0.05, 0, 3);
-  counting.request(0.15, 1, 1);
-  counting.request(1.25, 1, 2);
-  counting.request(-1, 0, 9);
-  counting.handshake(1.2, 1);
-  EXPECT_EQ(by_second(counting.requests, counting.slot_s), (Landed::Table{{1, 1}, {0, 1}}));
-  EXPECT_DOUBLE_EQ(spread_of(counting, 0, 2).handshakes, 1 / 3.0);
-  EXPECT_DOUBLE_EQ(spread_of(counting, 1, 2, {0, 1}).mean, 0.5);
+  counting.add_request(0.05, 0, 3);
+  counting.add_request(0.15, 1, 1);
+  counting.add_request(1.25, 1, 2);
+  counting.add_request(-1, 0, 9);
+  counting.add_handshake(1.2, 1);
+  EXPECT_EQ(by_second(counting.requests, counting.slot_s), (HostArrivals::Table{{1, 1}, {0, 1}}));
+  EXPECT_DOUBLE_EQ(spread_of(counting, 0, 2).handshakes_per_request, 1 / 3.0);
+  EXPECT_DOUBLE_EQ(spread_of(counting, 1, 2, {0, 1}).mean_requests, 0.5);
 }
 
 TEST(Pickout, MeansWhatItSays) {
-  EXPECT_EQ(Pickout("all").of(3), (std::vector<std::uint32_t>{0, 1, 2}));
-  EXPECT_EQ(Pickout("3:1").of(8), (std::vector<std::uint32_t>{1, 4, 7}));
-  EXPECT_EQ(Pickout("2-4,7").of(6), (std::vector<std::uint32_t>{2, 3, 4}));
-  EXPECT_EQ(Pickout("!2:0").of(5), (std::vector<std::uint32_t>{1, 3}));
-  EXPECT_EQ(Pickout("all,!0-2").of(5), (std::vector<std::uint32_t>{3, 4}));
-  EXPECT_FALSE(Pickout().has(0));
+  EXPECT_EQ(IndexSet("all").below(3), (std::vector<std::uint32_t>{0, 1, 2}));
+  EXPECT_EQ(IndexSet("3:1").below(8), (std::vector<std::uint32_t>{1, 4, 7}));
+  EXPECT_EQ(IndexSet("2-4,7").below(6), (std::vector<std::uint32_t>{2, 3, 4}));
+  EXPECT_EQ(IndexSet("!2:0").below(5), (std::vector<std::uint32_t>{1, 3}));
+  EXPECT_EQ(IndexSet("all,!0-2").below(5), (std::vector<std::uint32_t>{3, 4}));
+  EXPECT_FALSE(IndexSet().contains(0));
   for (const char* text : {"", "x", "3:3", "0:0", "5-2", "1,,2", "-1"}) {
-    EXPECT_THROW(Pickout{text}, std::invalid_argument) << text;
+    EXPECT_THROW(IndexSet{text}, std::invalid_argument) << text;
   }
 }
 
@@ -338,18 +339,18 @@
                 "fault": "silent"}],
     "moves": [{"at_s": 3, "gateways": "8:1", "what": "pause", "for_s": 3}],
     "within": {"max_over_mean": 2}})"));
-  ASSERT_TRUE(good.mistakes.empty()) << good.mistakes[0].where << good.mistakes[0].what;
-  EXPECT_EQ(good.plan.set, std::vector<std::string>{"gateways.count=20"});
-  EXPECT_TRUE(good.plan.faults[0].fault.silent_back);
-  EXPECT_TRUE(good.plan.faults[0].hosts.has(4));
+  ASSERT_TRUE(good.errors.empty()) << good.errors[0].where << good.errors[0].what;
+  EXPECT_EQ(good.plan.overrides, std::vector<std::string>{"gateways.count=20"});
+  EXPECT_TRUE(good.plan.faults[0].fault.drop_backward);
+  EXPECT_TRUE(good.plan.faults[0].hosts.contains(4));
   EXPECT_EQ(good.plan.moves[0].what, RigMove::What::pause);
-  EXPECT_DOUBLE_EQ(good.plan.within.max_over_mean, 2);
+  EXPECT_DOUBLE_EQ(good.plan.bounds.max_over_mean, 2);
   const RigReading bad = read_rig_plan(
       nlohmann::json::parse(R"({"senario": "x", "faults": [{"fault": "cuts", "for_s": 1},
     {"to": "gateway", "for_s": 1}, {"from_s": 1}], "moves": [{"what": "term"}],
     "within": {"served": 2}})"));
   std::vector<std::string> where;
-  for (const ValidationError& m : bad.mistakes) {
+  for (const ValidationError& m : bad.errors) {
     where.push_back(m.where);
   }
   EXPECT_EQ(where, (std::vector<std::string>{"senario", "scenario", "faults[0]", "faults[1].to",
