--- a/src/lab/live/live_fleet.cpp
+++ b/src/lab/live/live_fleet.cpp
@@ -22,25 +22,29 @@
 using load_balancer::EndpointState;
 using nlohmann::json;
 
-constexpr Time kMorning = std::chrono::seconds(100);
-constexpr std::uint64_t kBodyLimit = 33 << 20;  // the platform's largest
-constexpr Duration kFastError = std::chrono::milliseconds(2);
-constexpr Duration kLongestWatch = std::chrono::seconds(60);
+// Laboratory time at which a run starts; above zero, because Time{} stands for "before the run".
+constexpr Time kStartTime = std::chrono::seconds(100);
+constexpr std::uint64_t kMaxBodyBytes = 33 << 20;  // largest that the platform accepts
+// Delay of an error response that a fault injects.
+constexpr Duration kInjectedErrorDelay = std::chrono::milliseconds(2);
+// Longest that discovery holds a list request open.
+constexpr Duration kMaxPollTimeout = std::chrono::seconds(60);
 
 tcp::endpoint loopback() {
   return {asio::ip::address_v4::loopback(), 0};
 }
 
+// Value of the query parameter `name`; `fallback` if it is missing or not a number.
 template <class T>
-T number_in(std::string_view target, std::string_view name, T none, int base = 10) {
-  const std::string want = std::string(name) + "=";
-  for (std::size_t at = target.find(want); at != std::string_view::npos;
-       at = target.find(want, at + 1)) {
+T query_number(std::string_view target, std::string_view name, T fallback, int base = 10) {
+  const std::string prefix = std::string(name) + "=";
+  for (std::size_t at = target.find(prefix); at != std::string_view::npos;
+       at = target.find(prefix, at + 1)) {
     if (at == 0 || (target[at - 1] != '?' && target[at - 1] != '&')) {
       continue;
     }
     T value{};
-    const char* first = target.data() + at + want.size();
+    const char* first = target.data() + at + prefix.size();
     const char* last = target.data() + target.size();
     std::from_chars_result read{};
     if constexpr (std::is_floating_point_v<T>) {
@@ -52,10 +56,10 @@
       return value;
     }
   }
-  return none;
+  return fallback;
 }
 
-std::string answer(int status, std::string_view headers, std::string_view body) {
+std::string response_text(int status, std::string_view headers, std::string_view body) {
   std::string text =
       "HTTP/1.1 " + std::to_string(status) + (status == 200 ? " OK" : " No") + "\r\n";
   text.append(headers)
@@ -65,45 +69,47 @@
   return text.append(body);
 }
 
-// One connection that a listener took: reads requests one after the other, writes what it is given.
+// An accepted connection: reads requests one after the other and writes the responses given to it.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   using Request = beast_http::request<beast_http::string_body>;
-  using Taken = std::function<void(const std::shared_ptr<Connection>&, Request&)>;
-  using Gone = std::function<void(const std::shared_ptr<Connection>&)>;
+  using RequestHandler = std::function<void(const std::shared_ptr<Connection>&, Request&)>;
+  using CloseHandler = std::function<void(const std::shared_ptr<Connection>&)>;
 
-  Connection(tcp::socket socket, Taken taken, Gone gone)
-      : socket_(std::move(socket)), taken_(std::move(taken)), gone_(std::move(gone)) {
+  Connection(tcp::socket socket, RequestHandler report_accepted, CloseHandler gone)
+      : socket_(std::move(socket)),
+        on_request_(std::move(report_accepted)),
+        on_closed_(std::move(gone)) {
     error_code ignored;
     socket_.set_option(tcp::no_delay(true), ignored);
   }
 
   void read() {
     parser_.emplace();
-    parser_->body_limit(kBodyLimit);
+    parser_->body_limit(kMaxBodyBytes);
     beast_http::async_read(socket_, buffer_, *parser_,
                            [self = shared_from_this()](error_code ec, std::size_t) {
                              if (ec) {
-                               return self->leave();
+                               return self->close();
                              }
-                             self->busy_ = true;
-                             self->watch();
+                             self->request_pending_ = true;
+                             self->await_readable();
                              Request request = self->parser_->release();
-                             self->taken_(self, request);
+                             self->on_request_(self, request);
                            });
   }
-  void reply(std::string text) {
+  void respond(std::string text) {
     if (!open_) {
       return;
     }
-    out_ = std::move(text);
-    asio::async_write(socket_, asio::buffer(out_),
+    response_ = std::move(text);
+    asio::async_write(socket_, asio::buffer(response_),
                       [self = shared_from_this()](error_code ec, std::size_t) {
-                        self->busy_ = false;
+                        self->request_pending_ = false;
                         if (ec) {
-                          return self->leave();
+                          return self->close();
                         }
-                        if (!self->watching_) {
+                        if (!self->awaits_readable_) {
                           self->read();
                         }
                       });
@@ -111,30 +117,31 @@
   void reset() {
     error_code ignored;
     socket_.set_option(asio::socket_base::linger(true, 0), ignored);
-    leave();
+    close();
   }
-  void leave() {
+  void close() {
     if (!open_) {
       return;
     }
     open_ = false;
     error_code ignored;
     socket_.close(ignored);
-    gone_(shared_from_this());
+    on_closed_(shared_from_this());
   }
   bool open() const { return open_; }
-  std::uint64_t job = 0;  // in work for this connection; 0: none
+  std::uint64_t job = 0;  // id of the job that runs for this connection; 0: none
 
  private:
-  // While a request is in work the other side's closing must be seen: it gives the attempt up.
-  void watch() {
-    watching_ = true;
+  // While a request is pending, detects that the peer closes the connection, which cancels the
+  // attempt.
+  void await_readable() {
+    awaits_readable_ = true;
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code ec) {
-      self->watching_ = false;
+      self->awaits_readable_ = false;
       if (ec || !self->open_) {
         return;
       }
-      if (!self->busy_) {
+      if (!self->request_pending_) {
         return self->read();
       }
       char byte;
@@ -142,19 +149,19 @@
       const std::size_t n =
           self->socket_.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, peek);
       if (peek || n == 0) {
-        return self->leave();
+        return self->close();
       }
-      // Bytes of a next request: read once this one is answered.
+      // Bytes of a further request: read after the response to this one.
     });
   }
 
   tcp::socket socket_;
-  Taken taken_;
-  Gone gone_;
+  RequestHandler on_request_;
+  CloseHandler on_closed_;
   boost::beast::flat_buffer buffer_;
   std::optional<beast_http::request_parser<beast_http::string_body>> parser_;
-  std::string out_;
-  bool open_ = true, busy_ = false, watching_ = false;
+  std::string response_;
+  bool open_ = true, request_pending_ = false, awaits_readable_ = false;
 };
 
 }  // namespace
@@ -165,43 +172,44 @@
 LiveClock::LiveClock(asio::io_context& io) : timer_(io), begin_(std::chrono::steady_clock::now()) {}
 
 Time LiveClock::now() const {
-  return kMorning + std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - begin_);
+  return kStartTime +
+         std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - begin_);
 }
 
-void LiveClock::at(Time when, std::function<void()> what) {
-  agenda_.add(when, std::move(what));
-  if (!running_) {
-    arm();
+void LiveClock::at(Time when, std::function<void()> task) {
+  tasks_.add(when, std::move(task));
+  if (!is_running_tasks_) {
+    arm_timer();
   }
 }
 
-void LiveClock::arm() {
-  if (agenda_.next_at() == kNever || agenda_.next_at() >= armed_) {
+void LiveClock::arm_timer() {
+  if (tasks_.next_at() == kNever || tasks_.next_at() >= armed_for_) {
     return;
   }
-  armed_ = agenda_.next_at();
-  timer_.expires_at(
-      begin_ + std::chrono::duration_cast<std::chrono::steady_clock::duration>(armed_ - kMorning));
+  armed_for_ = tasks_.next_at();
+  timer_.expires_at(begin_ + std::chrono::duration_cast<std::chrono::steady_clock::duration>(
+                                 armed_for_ - kStartTime));
   timer_.async_wait([this](error_code ec) {
     if (!ec) {
-      run();
+      run_due_tasks();
     }
   });
 }
 
-void LiveClock::run() {
-  armed_ = kNever;
-  running_ = true;
-  for (Time t = now(); agenda_.next_at() <= t; t = now()) {
-    const Duration behind = t - agenda_.next_at();
-    max_delay_ = std::max(max_delay_, behind);
-    if (behind > kTolerance) {
+void LiveClock::run_due_tasks() {
+  armed_for_ = kNever;
+  is_running_tasks_ = true;
+  for (Time t = now(); tasks_.next_at() <= t; t = now()) {
+    const Duration delay = t - tasks_.next_at();
+    max_delay_ = std::max(max_delay_, delay);
+    if (delay > kTolerance) {
       ++delayed_count_;
     }
-    agenda_.pop()();
+    tasks_.pop()();
   }
-  running_ = false;
-  arm();
+  is_running_tasks_ = false;
+  arm_timer();
 }
 
 // --- The fleet
@@ -211,70 +219,72 @@
   struct Host {
     Host(asio::io_context& io, const HostPlacement& p, std::uint32_t number, std::uint64_t seed,
          Time now, bool cold)
-        : place(p),
+        : placement(p),
           model(p.traits, now, cold),
           acceptor(io),
           started_at(cold ? now : Time{}),
-          luck(seed, "luck", number) {}
-    HostPlacement place;
+          fault_random(seed, "luck", number) {}
+    HostPlacement placement;
     HostModel model;
     tcp::acceptor acceptor;
     tcp::endpoint endpoint;
     Time started_at;
-    bool cut = false;
-    std::vector<std::uint32_t> troubles;
-    std::set<std::shared_ptr<Connection>> connections;  // order shows nowhere
-    Time step_at = kNever;
-    Random luck;
+    bool unreachable = false;
+    std::vector<std::uint32_t> faults;
+    std::set<std::shared_ptr<Connection>>
+        connections;  // ordered by address, which no result depends on
+    Time next_step_at = kNever;
+    Random fault_random;
   };
-  struct Work {
+  struct PendingRequest {
     std::weak_ptr<Connection> connection;
     std::uint64_t id = 0;
     std::uint32_t host = 0;
   };
-  struct Watcher {
+  struct ListWatcher {
     std::weak_ptr<Connection> connection;
     std::uint32_t gateway;
     std::uint64_t since;
   };
-  struct Door {  // a gateway's own address of discovery
-    explicit Door(asio::io_context& io) : acceptor(io) {}
+  struct DiscoveryServer {  // discovery as one gateway reaches it
+    explicit DiscoveryServer(asio::io_context& io) : acceptor(io) {}
     tcp::acceptor acceptor;
     tcp::endpoint endpoint;
     std::set<std::shared_ptr<Connection>> connections;
   };
 
-  Impl(asio::io_context& i, LiveClock& c, const Scenario& scenario, std::uint64_t sd, LiveEyes* e)
-      : io(i),
-        clock(c),
-        s(scenario),
-        seed(sd),
-        eyes(e),
-        layout(draw_topology(scenario, sd)),
-        plan(schedule_faults(scenario, layout, sd)),
-        discovery(scenario.discovery, sd),
-        network(sd, "packets") {
-    unix_begin =
+  Impl(asio::io_context& context, LiveClock& live_clock, const Scenario& spec,
+       std::uint64_t run_seed, FleetObserver* run_observer)
+      : io(context),
+        clock(live_clock),
+        scenario(spec),
+        seed(run_seed),
+        observer(run_observer),
+        topology(draw_topology(spec, run_seed)),
+        fault_schedule(schedule_faults(spec, topology, run_seed)),
+        discovery(spec.discovery, run_seed),
+        network_random(run_seed, "packets") {
+    unix_time_at_zero =
         std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()) -
         clock.now();
   }
 
   // --- Hosts ---
 
-  void add_host(const HostPlacement& place, bool cold, bool at_once) {
+  void add_host(const HostPlacement& placement, bool cold, bool publish_now) {
     const auto number = static_cast<std::uint32_t>(hosts.size());
-    hosts.emplace_back(io, place, number, seed, clock.now(), cold);
+    hosts.emplace_back(io, placement, number, seed, clock.now(), cold);
     hosts.back().endpoint = loopback();
     listen_host(number);
     const ListedHost listed{number, EndpointState::active, hosts.back().started_at};
-    if (at_once) {
+    if (publish_now) {
       discovery.publish_immediately(clock.now(), listed);
     } else {
-      tell(listed);
+      publish(listed);
     }
   }
 
-  void reserve(tcp::acceptor& acceptor, tcp::endpoint& endpoint) {
+  void bind_port(tcp::acceptor& acceptor, tcp::endpoint& endpoint) {
     acceptor.open(endpoint.protocol());
     acceptor.set_option(tcp::acceptor::reuse_address(true));
     acceptor.bind(endpoint);
@@ -284,55 +294,57 @@
   void listen_host(std::uint32_t number) {
     Host& h = hosts[number];
     if (!h.acceptor.is_open()) {
-      reserve(h.acceptor, h.endpoint);
+      bind_port(h.acceptor, h.endpoint);
     }
     h.acceptor.listen();
-    accept_host(number);
+    accept_host_connection(number);
   }
 
-  void accept_host(std::uint32_t number) {
+  void accept_host_connection(std::uint32_t number) {
     hosts[number].acceptor.async_accept(
         [this, number, self = shared_from_this()](error_code ec, tcp::socket socket) {
           if (ec) {
             return;
           }
           Host& h = hosts[number];
-          if (eyes) {
-            eyes->connected(clock.now(), number);
+          if (observer) {
+            observer->on_connected(clock.now(), number);
           }
           if (h.model.open_connection()) {
             auto connection = std::make_shared<Connection>(
                 std::move(socket),
                 [this, number](const std::shared_ptr<Connection>& c, Connection::Request& r) {
-                  take(number, c, r);
+                  handle_request(number, c, r);
                 },
-                [this, number](const std::shared_ptr<Connection>& c) { left(number, c); });
+                [this, number](const std::shared_ptr<Connection>& c) {
+                  on_connection_closed(number, c);
+                });
             h.connections.insert(connection);
-            fresh.insert(connection.get());
+            unused_connections.insert(connection.get());
             connection->read();
           }
-          accept_host(number);
+          accept_host_connection(number);
         });
   }
 
-  void left(std::uint32_t number, const std::shared_ptr<Connection>& connection) {
+  void on_connection_closed(std::uint32_t number, const std::shared_ptr<Connection>& connection) {
     Host& h = hosts[number];
-    fresh.erase(connection.get());
+    unused_connections.erase(connection.get());
     if (h.connections.erase(connection) > 0) {
       h.model.close_connection();
     }
     if (connection->job == 0) {
       return;
     }
-    const auto it = work.find(connection->job);
-    if (it != work.end()) {
-      if (eyes) {
-        eyes->over(clock.now(), it->second.id);
+    const auto it = pending.find(connection->job);
+    if (it != pending.end()) {
+      if (observer) {
+        observer->on_finished(clock.now(), it->second.id);
       }
-      work.erase(it);
+      pending.erase(it);
     }
-    h.model.cancel(clock.now(), std::exchange(connection->job, 0), ended);
-    after_host(number);
+    h.model.cancel(clock.now(), std::exchange(connection->job, 0), finished_jobs);
+    deliver_finished_jobs(number);
   }
 
   std::string load_header(const Host& h) const {
@@ -346,142 +358,146 @@
     return text;
   }
 
-  void send(const std::shared_ptr<Connection>& c, const Host& h, std::string text) {
-    const Duration late = h.model.condition().response_delay;
-    if (late <= Duration{}) {
-      return c->reply(std::move(text));
+  void send_response(const std::shared_ptr<Connection>& c, const Host& h, std::string text) {
+    const Duration delay = h.model.condition().response_delay;
+    if (delay <= Duration{}) {
+      return c->respond(std::move(text));
     }
-    clock.at(clock.now() + late,
-             [c, text = std::move(text)]() mutable { c->reply(std::move(text)); });
+    clock.at(clock.now() + delay,
+             [c, text = std::move(text)]() mutable { c->respond(std::move(text)); });
   }
 
+  // Injects the host's faults, submits the request to its model and rejects it if the model does.
   // NOLINTNEXTLINE(readability-function-size): too long
-  void take(std::uint32_t number, const std::shared_ptr<Connection>& c, Connection::Request& r) {
+  void handle_request(std::uint32_t number, const std::shared_ptr<Connection>& c,
+                      Connection::Request& r) {
     Host& h = hosts[number];
-    if (h.cut) {
-      return;  // silence
+    if (h.unreachable) {
+      return;  // an unreachable host sends nothing
     }
     const std::string_view target(r.target().data(), r.target().size());
     if (target == "/alive") {
-      return c->reply(answer(200, load_header(h), ""));
+      return c->respond(response_text(200, load_header(h), ""));
     }
     const auto id_text = r.find("X-Request-Id");
     std::uint64_t id = 0;
     if (id_text == r.end()) {
-      return c->reply(answer(404, "", ""));
+      return c->respond(response_text(404, "", ""));
     }
     std::from_chars(id_text->value().data(), id_text->value().data() + id_text->value().size(), id,
                     16);
     const Time now = clock.now();
-    if (eyes) {
-      eyes->arrived(now, id, number);
+    if (observer) {
+      observer->on_arrived(now, id, number);
     }
-    const std::uint64_t job_id = ++jobs;
-    const auto taken = [&] {
-      if (eyes) {
-        eyes->reached(now, id, job_id, number);
+    const std::uint64_t job_id = ++last_job_id;
+    const auto report_accepted = [&] {
+      if (observer) {
+        observer->on_accepted(now, id, job_id, number);
       }
     };
     const Condition& condition = h.model.condition();
-    if (h.luck.chance(condition.reset_share)) {
-      taken();
-      if (eyes) {
-        eyes->over(now, id);
+    if (h.fault_random.chance(condition.reset_share)) {
+      report_accepted();
+      if (observer) {
+        observer->on_finished(now, id);
       }
       return c->reset();
     }
-    if (h.luck.chance(condition.error_share)) {
-      taken();
-      if (eyes) {
-        eyes->over(now, id);
+    if (h.fault_random.chance(condition.error_share)) {
+      report_accepted();
+      if (observer) {
+        observer->on_finished(now, id);
       }
-      return clock.at(now + kFastError, [c] { c->reply(answer(500, "", "")); });
+      return clock.at(now + kInjectedErrorDelay, [c] { c->respond(response_text(500, "", "")); });
     }
     Job job;
     job.id = job_id;
     double mean = 0;
-    for (const ClassSpec& cls : s.classes) {
+    for (const ClassSpec& cls : scenario.classes) {
       if (target.substr(1, target.find_first_of("?/", 1) - 1) == cls.name) {
         mean = cls.work_ms.middle() * 1e3;
       }
     }
-    job.work = number_in<double>(target, "w", mean) / 1e6;
-    job.key = number_in<std::uint64_t>(target, "k", 0, 16);
+    job.work = query_number<double>(target, "w", mean) / 1e6;
+    job.key = query_number<std::uint64_t>(target, "k", 0, 16);
     job.has_key = job.key != 0;
-    job.handshake = fresh.erase(c.get()) > 0;
-    const std::uint32_t gateway = eyes ? eyes->gateway_of(id) : UINT32_MAX;
-    job.sender_knows_start = gateway < told.size() && told[gateway].count(number) > 0 &&
-                             told[gateway][number] == h.started_at;
-    const bool stood = !h.model.collapse();
-    const Admission admission = h.model.submit(now, job, ended);
-    if (stood && h.model.collapse()) {
-      if (eyes) {
-        eyes->fell(now, number, *h.model.collapse());
+    job.handshake = unused_connections.erase(c.get()) > 0;
+    const std::uint32_t gateway = observer ? observer->gateway_of(id) : UINT32_MAX;
+    job.sender_knows_start = gateway < known_start_times.size() &&
+                             known_start_times[gateway].count(number) > 0 &&
+                             known_start_times[gateway][number] == h.started_at;
+    const bool was_up = !h.model.collapse();
+    const Admission admission = h.model.submit(now, job, finished_jobs);
+    if (was_up && h.model.collapse()) {
+      if (observer) {
+        observer->on_collapsed(now, number, *h.model.collapse());
       }
       return stop_host(number);
     }
     if (admission == Admission::rejected) {
-      if (eyes) {
-        eyes->over(now, id);
+      if (observer) {
+        observer->on_finished(now, id);
       }
-      c->reply(answer(503, "X-Not-Run: 1\r\n" + load_header(h), ""));
+      c->respond(response_text(503, "X-Not-Run: 1\r\n" + load_header(h), ""));
     } else {
-      taken();
+      report_accepted();
       c->job = job_id;
-      work[job_id] = {c, id, number};
+      pending[job_id] = {c, id, number};
     }
-    after_host(number);
+    deliver_finished_jobs(number);
   }
 
-  void after_host(std::uint32_t number) {
+  void deliver_finished_jobs(std::uint32_t number) {
     Host& h = hosts[number];
     std::vector<FinishedJob> done;
-    std::swap(done, ended);
+    std::swap(done, finished_jobs);
     for (const FinishedJob& e : done) {
-      const auto it = work.find(e.id);
-      if (it == work.end()) {
+      const auto it = pending.find(e.id);
+      if (it == pending.end()) {
         continue;
       }
-      const Work w = it->second;
-      work.erase(it);
-      if (eyes) {
-        eyes->over(clock.now(), w.id);
+      const PendingRequest w = it->second;
+      pending.erase(it);
+      if (observer) {
+        observer->on_finished(clock.now(), w.id);
       }
       const auto c = w.connection.lock();
       if (!c || !c->open()) {
         continue;
       }
       c->job = 0;
-      if (h.cut) {
+      if (h.unreachable) {
         continue;
       }
       if (e.outcome == FinishedJob::Outcome::expired) {
-        if (eyes) {
-          eyes->not_run(w.id, e.id);
+        if (observer) {
+          observer->on_not_run(w.id, e.id);
         }
-        send(c, h, answer(504, "X-Not-Run: 1\r\n" + load_header(h), ""));
-      } else if (h.luck.chance(h.model.condition().malformed_share)) {
-        c->reply("HTTP/1.1 2x0 \x01\x02 spoilt\r\nContent-Length: -5\r\n\r\nnoise");
-      } else if (h.luck.chance(h.model.traits().error_rate)) {
-        send(c, h, answer(500, load_header(h), ""));
+        send_response(c, h, response_text(504, "X-Not-Run: 1\r\n" + load_header(h), ""));
+      } else if (h.fault_random.chance(h.model.condition().malformed_share)) {
+        c->respond("HTTP/1.1 2x0 \x01\x02 spoilt\r\nContent-Length: -5\r\n\r\nnoise");
+      } else if (h.fault_random.chance(h.model.traits().error_rate)) {
+        send_response(c, h, response_text(500, load_header(h), ""));
       } else {
-        send(c, h, answer(200, load_header(h), "done " + std::to_string(e.id)));
+        send_response(c, h, response_text(200, load_header(h), "done " + std::to_string(e.id)));
       }
     }
     const Time next = h.model.next_event();
     const Time now = clock.now();
-    if (next == kNever || (h.step_at != kNever && h.step_at <= next && h.step_at > now)) {
+    if (next == kNever ||
+        (h.next_step_at != kNever && h.next_step_at <= next && h.next_step_at > now)) {
       return;
     }
-    h.step_at = next;
+    h.next_step_at = next;
     clock.at(next, [this, number, next, weak = weak_from_this()] {
       const auto self = weak.lock();
-      if (!self || hosts[number].step_at != next) {
+      if (!self || hosts[number].next_step_at != next) {
         return;
       }
-      hosts[number].step_at = kNever;
-      hosts[number].model.advance(clock.now(), ended);
-      after_host(number);
+      hosts[number].next_step_at = kNever;
+      hosts[number].model.advance(clock.now(), finished_jobs);
+      deliver_finished_jobs(number);
     });
   }
 
@@ -492,17 +508,17 @@
     }
     error_code ignored;
     h.acceptor.close(ignored);
-    // Bound but not listening it refuses. Danger: left free, the port is soon that of somebody's
-    // connection.
-    reserve(h.acceptor, h.endpoint);
+    // A bound port that does not listen refuses connections. If it were freed, the kernel could
+    // give it to another socket.
+    bind_port(h.acceptor, h.endpoint);
     const auto connections = h.connections;
     h.connections.clear();
     for (const auto& c : connections) {
       c->reset();
     }
     h.model.stop(clock.now());
-    h.step_at = kNever;
-    tell({number, EndpointState::removed, h.started_at});
+    h.next_step_at = kNever;
+    publish({number, EndpointState::removed, h.started_at});
   }
 
   void start_host(std::uint32_t number) {
@@ -513,58 +529,58 @@
     h.model.restart(clock.now());
     h.started_at = clock.now();
     listen_host(number);
-    tell({number, EndpointState::active, h.started_at});
+    publish({number, EndpointState::active, h.started_at});
   }
 
   // --- Discovery ---
 
-  void tell(const ListedHost& listed) {
+  void publish(const ListedHost& listed) {
     discovery.publish(clock.now(), listed);
-    enter_list_move();
+    schedule_list_update();
   }
 
-  void move_list() {
+  void advance_list() {
     if (!discovery.advance(clock.now()).empty()) {
-      std::vector<Watcher> waiting;
+      std::vector<ListWatcher> waiting;
       std::swap(waiting, watchers);
-      for (const Watcher& w : waiting) {
-        const Duration spread = from_millis(s.discovery.spread_ms.draw(network));
+      for (const ListWatcher& w : waiting) {
+        const Duration spread = from_millis(scenario.discovery.spread_ms.draw(network_random));
         clock.at(clock.now() + spread, [this, w, weak = weak_from_this()] {
           if (const auto self = weak.lock()) {
-            answer_list(w);
+            respond_with_list(w);
           }
         });
       }
     }
-    enter_list_move();
+    schedule_list_update();
   }
 
-  // The time of the next word is entered once, however many changes wait for it.
-  void enter_list_move() {
+  // Schedules one task for the next change of the list, however many changes are due then.
+  void schedule_list_update() {
     const Time next = discovery.next_event();
-    if (next == kNever || (list_moves_at > clock.now() && list_moves_at <= next)) {
+    if (next == kNever || (list_update_at > clock.now() && list_update_at <= next)) {
       return;
     }
-    list_moves_at = next;
+    list_update_at = next;
     clock.at(next, [this, weak = weak_from_this()] {
       if (const auto self = weak.lock()) {
-        move_list();
+        advance_list();
       }
     });
   }
 
-  json entry_of(const ListedHost& l, std::uint32_t gateway) const {
+  json endpoint_entry(const ListedHost& l, std::uint32_t gateway) const {
     const Host& h = hosts[l.host];
-    const tcp::endpoint seen = view ? view(gateway, l.host) : h.endpoint;
+    const tcp::endpoint seen = host_address ? host_address(gateway, l.host) : h.endpoint;
     std::int64_t boot = 0;
     if (l.started > Time{}) {
-      boot = (l.started + unix_begin).count() / 1000000;
+      boot = (l.started + unix_time_at_zero).count() / 1000000;
     }
     return {{"uid", uid_of(l.host)},
             {"endpoint", "127.0.0.1:" + std::to_string(seen.port())},
-            {"az", s.zones[h.place.zone].name},
-            {"model", s.hosts.kinds[h.place.kind].name},
-            {"pod_group", h.place.cell},
+            {"az", scenario.zones[h.placement.zone].name},
+            {"model", scenario.hosts.kinds[h.placement.kind].name},
+            {"pod_group", h.placement.cell},
             {"state", l.state == EndpointState::active     ? "SERVING"
                       : l.state == EndpointState::draining ? "DRAINING"
                                                            : "DELETED"},
@@ -573,55 +589,55 @@
   }
   static std::string uid_of(std::uint32_t host) { return "host-" + std::to_string(host); }
 
-  json list_since(std::uint64_t since, std::uint32_t gateway,
-                  std::vector<ListedHost>& entries) const {
+  json list_changes_since(std::uint64_t since, std::uint32_t gateway,
+                          std::vector<ListedHost>& entries) const {
     bool whole = false;
     entries = discovery.changes_since(since, whole);
     json out{{"rev", discovery.revision()}, {"all", whole}, {"targets", json::array()}};
     for (const ListedHost& l : entries) {
-      out["targets"].push_back(entry_of(l, gateway));
+      out["targets"].push_back(endpoint_entry(l, gateway));
     }
     return out;
   }
 
-  void answer_list(const Watcher& w) {
+  void respond_with_list(const ListWatcher& w) {
     const auto c = w.connection.lock();
     if (!c || !c->open()) {
       return;
     }
     std::vector<ListedHost> entries;
-    const json out = list_since(w.since, w.gateway, entries);
+    const json out = list_changes_since(w.since, w.gateway, entries);
     for (const ListedHost& l : entries) {
       if (l.state == EndpointState::removed) {
-        told[w.gateway].erase(l.host);
+        known_start_times[w.gateway].erase(l.host);
       } else {
-        told[w.gateway][l.host] = l.started;
+        known_start_times[w.gateway][l.host] = l.started;
       }
-      if (eyes) {
-        eyes->told(clock.now(), w.gateway, l.host, l.state);
+      if (observer) {
+        observer->on_endpoint_sent(clock.now(), w.gateway, l.host, l.state);
       }
     }
-    c->reply(answer(200, "Content-Type: application/json\r\n", out.dump()));
+    c->respond(response_text(200, "Content-Type: application/json\r\n", out.dump()));
   }
 
-  void asked_for_list(std::uint32_t gateway, const std::shared_ptr<Connection>& c,
-                      const Connection::Request& r) {
+  void handle_list_request(std::uint32_t gateway, const std::shared_ptr<Connection>& c,
+                           const Connection::Request& r) {
     const std::string_view target(r.target().data(), r.target().size());
     if (target.substr(0, 16) != "/discovery/hosts") {
-      return c->reply(answer(404, "", ""));
+      return c->respond(response_text(404, "", ""));
     }
-    const auto since = number_in<std::uint64_t>(target, "since", 0);
-    const Watcher w{c, gateway, since};
-    if (since > 0 && since >= discovery.revision() && !down) {
+    const auto since = query_number<std::uint64_t>(target, "since", 0);
+    const ListWatcher w{c, gateway, since};
+    if (since > 0 && since >= discovery.revision() && !discovery_down) {
       const auto wait =
-          std::min(from_millis(number_in<double>(target, "timeout_ms", 0)), kLongestWatch);
+          std::min(from_millis(query_number<double>(target, "timeout_ms", 0)), kMaxPollTimeout);
       watchers.push_back(w);
       clock.at(clock.now() + wait, [this, w, weak = weak_from_this()] {
         const auto self = weak.lock();
         if (!self) {
           return;
         }
-        const auto same = [&](const Watcher& o) {
+        const auto same = [&](const ListWatcher& o) {
           return !o.connection.owner_before(w.connection) &&
                  !w.connection.owner_before(o.connection) && o.since == w.since;
         };
@@ -630,7 +646,7 @@
           return;
         }
         watchers.erase(it);
-        answer_list(w);
+        respond_with_list(w);
       });
       return;
     }
@@ -643,16 +659,16 @@
         return;
       }
       if (ok) {
-        return answer_list(w);
+        return respond_with_list(w);
       }
       if (const auto connection = w.connection.lock()) {
-        connection->reply(answer(503, "", ""));
+        connection->respond(response_text(503, "", ""));
       }
     });
   }
 
-  void accept_door(std::uint32_t gateway) {
-    doors[gateway].acceptor.async_accept(
+  void accept_discovery_connection(std::uint32_t gateway) {
+    discovery_servers[gateway].acceptor.async_accept(
         [this, gateway, self = shared_from_this()](error_code ec, tcp::socket socket) {
           if (ec) {
             return;
@@ -660,36 +676,37 @@
           auto connection = std::make_shared<Connection>(
               std::move(socket),
               [this, gateway](const std::shared_ptr<Connection>& c, Connection::Request& r) {
-                asked_for_list(gateway, c, r);
+                handle_list_request(gateway, c, r);
               },
               [this, gateway](const std::shared_ptr<Connection>& c) {
-                doors[gateway].connections.erase(c);
+                discovery_servers[gateway].connections.erase(c);
               });
-          doors[gateway].connections.insert(connection);
+          discovery_servers[gateway].connections.insert(connection);
           connection->read();
-          accept_door(gateway);
+          accept_discovery_connection(gateway);
         });
   }
 
-  // --- Troubles ---
+  // --- Faults ---
 
   // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): too long
-  void carry_out(const FaultStep& step, const std::function<void(const FaultStep&)>& other) {
+  void apply_fault_step(const FaultStep& step,
+                        const std::function<void(const FaultStep&)>& on_gateway_step) {
     switch (step.kind) {
       case FaultStepKind::condition_on:
       case FaultStepKind::condition_off:
         for (std::uint32_t number : step.targets) {
           Host& h = hosts[number];
-          std::erase(h.troubles, step.fault);
+          std::erase(h.faults, step.fault);
           if (step.kind == FaultStepKind::condition_on) {
-            h.troubles.push_back(step.fault);
+            h.faults.push_back(step.fault);
           }
           Condition c;
-          for (std::uint32_t t : h.troubles) {
-            c = combine(c, plan.conditions[t]);
+          for (std::uint32_t t : h.faults) {
+            c = combine(c, fault_schedule.conditions[t]);
           }
-          h.model.set_condition(clock.now(), c, ended);
-          after_host(number);
+          h.model.set_condition(clock.now(), c, finished_jobs);
+          deliver_finished_jobs(number);
         }
         return;
       case FaultStepKind::host_stop:
@@ -703,20 +720,20 @@
         }
         return;
       case FaultStepKind::host_add:
-        return add_host(layout.hosts[step.targets[0]], true, false);
+        return add_host(topology.hosts[step.targets[0]], true, false);
       case FaultStepKind::host_drain:
         for (std::uint32_t h : step.targets) {
-          tell({h, EndpointState::draining, hosts[h].started_at});
+          publish({h, EndpointState::draining, hosts[h].started_at});
         }
         return;
       case FaultStepKind::host_unreachable:
         for (std::uint32_t h : step.targets) {
-          hosts[h].cut = true;
+          hosts[h].unreachable = true;
         }
         return;
       case FaultStepKind::host_reachable:
         for (std::uint32_t h : step.targets) {
-          hosts[h].cut = false;
+          hosts[h].unreachable = false;
           const auto connections = hosts[h].connections;
           for (const auto& c : connections) {
             c->reset();
@@ -725,21 +742,22 @@
         return;
       case FaultStepKind::gateway_stop:
       case FaultStepKind::gateway_start:
-        return other(step);
+        return on_gateway_step(step);
       case FaultStepKind::list_delay_increase:
       case FaultStepKind::list_delay_decrease:
-        stale += step.kind == FaultStepKind::list_delay_increase ? step.amount : -step.amount;
-        discovery.set_extra_delay(from_seconds(std::max(stale, 0.0)));
+        extra_list_delay_s +=
+            step.kind == FaultStepKind::list_delay_increase ? step.amount : -step.amount;
+        discovery.set_extra_delay(from_seconds(std::max(extra_list_delay_s, 0.0)));
         return;
       case FaultStepKind::discovery_down:
       case FaultStepKind::discovery_up:
-        down = step.kind == FaultStepKind::discovery_down;
-        discovery.set_down(down);
-        if (!down) {
+        discovery_down = step.kind == FaultStepKind::discovery_down;
+        discovery.set_down(discovery_down);
+        if (!discovery_down) {
           return;
         }
         watchers.clear();
-        for (Door& d : doors) {
+        for (DiscoveryServer& d : discovery_servers) {
           const auto connections = d.connections;
           for (const auto& c : connections) {
             c->reset();
@@ -755,58 +773,59 @@
       h.acceptor.close(ignored);
       const auto connections = h.connections;
       for (const auto& c : connections) {
-        c->leave();
+        c->close();
       }
     }
-    for (Door& d : doors) {
+    for (DiscoveryServer& d : discovery_servers) {
       d.acceptor.close(ignored);
       const auto connections = d.connections;
       for (const auto& c : connections) {
-        c->leave();
+        c->close();
       }
     }
   }
 
   asio::io_context& io;
   LiveClock& clock;
-  const Scenario& s;
+  const Scenario& scenario;
   std::uint64_t seed;
-  LiveEyes* eyes;
-  FleetTopology layout;
-  FaultSchedule plan;
+  FleetObserver* observer;
+  FleetTopology topology;
+  FaultSchedule fault_schedule;
   DiscoveryModel discovery;
-  Random network;
-  Duration unix_begin{};
-  View view;
+  Random network_random;
+  Duration unix_time_at_zero{};
+  HostAddress host_address;
   std::deque<Host> hosts;
-  std::deque<Door> doors;
-  std::set<Connection*> fresh;         // no request has come on it yet
-  std::map<std::uint64_t, Work> work;  // by job
-  std::vector<Watcher> watchers;
-  std::vector<std::map<std::uint32_t, Time>> told;  // by gateway: hosts and the start it knows
-  std::vector<FinishedJob> ended;
-  std::uint64_t jobs = 0;
-  Time list_moves_at{};
-  double stale = 0;
-  bool down = false;
+  std::deque<DiscoveryServer> discovery_servers;
+  std::set<Connection*> unused_connections;         // without a request so far
+  std::map<std::uint64_t, PendingRequest> pending;  // by job id
+  std::vector<ListWatcher> watchers;
+  std::vector<std::map<std::uint32_t, Time>>
+      known_start_times;  // by gateway: start time of each host that its list contains
+  std::vector<FinishedJob> finished_jobs;
+  std::uint64_t last_job_id = 0;
+  Time list_update_at{};
+  double extra_list_delay_s = 0;
+  bool discovery_down = false;
 };
 
 LiveFleet::LiveFleet(asio::io_context& io, LiveClock& clock, const Scenario& scenario,
-                     std::uint64_t seed, LiveEyes* eyes)
-    : impl_(std::make_shared<Impl>(io, clock, scenario, seed, eyes)) {
-  for (const HostPlacement& place : impl_->layout.hosts) {
-    impl_->add_host(place, scenario.hosts.start == "cold", true);
+                     std::uint64_t seed, FleetObserver* observer)
+    : impl_(std::make_shared<Impl>(io, clock, scenario, seed, observer)) {
+  for (const HostPlacement& placement : impl_->topology.hosts) {
+    impl_->add_host(placement, scenario.hosts.start == "cold", true);
   }
-  impl_->told.resize(impl_->layout.gateway_zones.size());
-  for (std::uint32_t g = 0; g < impl_->told.size(); ++g) {
+  impl_->known_start_times.resize(impl_->topology.gateway_zones.size());
+  for (std::uint32_t g = 0; g < impl_->known_start_times.size(); ++g) {
     for (std::uint32_t h = 0; h < impl_->hosts.size(); ++h) {
-      impl_->told[g][h] = impl_->hosts[h].started_at;
+      impl_->known_start_times[g][h] = impl_->hosts[h].started_at;
     }
-    impl_->doors.emplace_back(io);
-    impl_->doors[g].endpoint = loopback();
-    impl_->reserve(impl_->doors[g].acceptor, impl_->doors[g].endpoint);
-    impl_->doors[g].acceptor.listen();
-    impl_->accept_door(g);
+    impl_->discovery_servers.emplace_back(io);
+    impl_->discovery_servers[g].endpoint = loopback();
+    impl_->bind_port(impl_->discovery_servers[g].acceptor, impl_->discovery_servers[g].endpoint);
+    impl_->discovery_servers[g].acceptor.listen();
+    impl_->accept_discovery_connection(g);
   }
 }
 LiveFleet::~LiveFleet() {
@@ -814,23 +833,23 @@
 }
 
 tcp::endpoint LiveFleet::discovery_of(std::uint32_t gateway) const {
-  return impl_->doors.at(gateway).endpoint;
+  return impl_->discovery_servers.at(gateway).endpoint;
 }
 tcp::endpoint LiveFleet::endpoint_of(std::uint32_t host) const {
   return impl_->hosts.at(host).endpoint;
 }
-void LiveFleet::set_view(View view) {
-  impl_->view = std::move(view);
+void LiveFleet::set_host_address(HostAddress host_address) {
+  impl_->host_address = std::move(host_address);
 }
 json LiveFleet::endpoint_list(std::uint32_t gateway) const {
   std::vector<ListedHost> entries;
-  return impl_->list_since(0, gateway, entries);
+  return impl_->list_changes_since(0, gateway, entries);
 }
 const FleetTopology& LiveFleet::topology() const {
-  return impl_->layout;
+  return impl_->topology;
 }
 const FaultSchedule& LiveFleet::fault_schedule() const {
-  return impl_->plan;
+  return impl_->fault_schedule;
 }
 std::string LiveFleet::uid_of(std::uint32_t host) const {
   return Impl::uid_of(host);
@@ -838,14 +857,14 @@
 std::size_t LiveFleet::hosts() const {
   return impl_->hosts.size();
 }
-std::size_t LiveFleet::holds(std::uint32_t host) const {
+std::size_t LiveFleet::active_requests(std::uint32_t host) const {
   return impl_->hosts.at(host).model.active_jobs();
 }
 std::size_t LiveFleet::connections(std::uint32_t host) const {
   return impl_->hosts.at(host).connections.size();
 }
 bool LiveFleet::running(std::uint32_t host) const {
-  return impl_->hosts.at(host).model.running() && !impl_->hosts[host].cut;
+  return impl_->hosts.at(host).model.running() && !impl_->hosts[host].unreachable;
 }
 double LiveFleet::work_done() const {
   double sum = 0;
@@ -854,13 +873,13 @@
   }
   return sum;
 }
-void LiveFleet::begin_faults(const std::function<void(const FaultStep&)>& other) {
+void LiveFleet::begin_faults(const std::function<void(const FaultStep&)>& on_gateway_step) {
   const Time begin = impl_->clock.now();
-  for (const FaultStep& step : impl_->plan.steps) {
+  for (const FaultStep& step : impl_->fault_schedule.steps) {
     impl_->clock.at(begin + step.at,
-                    [impl = impl_.get(), &step, other, weak = std::weak_ptr(impl_)] {
+                    [impl = impl_.get(), &step, on_gateway_step, weak = std::weak_ptr(impl_)] {
                       if (const auto self = weak.lock()) {
-                        impl->carry_out(step, other);
+                        impl->apply_fault_step(step, on_gateway_step);
                       }
                     });
   }
