--- a/src/lab/faults/datagram_mesh.cpp
+++ b/src/lab/faults/datagram_mesh.cpp
@@ -19,8 +19,9 @@
 
 struct DatagramMesh::State : std::enable_shared_from_this<DatagramMesh::State> {
   using Clock = std::chrono::steady_clock;
-  struct Member {
-    explicit Member(asio::io_context& io) : socket(io, {asio::ip::address_v4::loopback(), 0}) {
+  struct MemberSocket {
+    explicit MemberSocket(asio::io_context& io)
+        : socket(io, {asio::ip::address_v4::loopback(), 0}) {
       error_code ignored;
       socket.non_blocking(true, ignored);
       socket.set_option(asio::socket_base::receive_buffer_size(1 << 20), ignored);
@@ -30,16 +31,16 @@
     std::array<char, 65536> buffer;
     Counts counts;
   };
-  struct Flight {
+  struct Datagram {
     MemberIndex from, to;
     std::string data;
   };
 
   State(asio::io_context& context, std::uint64_t seed)
-      : io(context), timer(context), draws(seed, "mesh") {}
+      : io(context), timer(context), random(seed, "mesh") {}
 
   void receive(MemberIndex to) {
-    Member& m = members[to];
+    MemberSocket& m = members[to];
     m.socket.async_receive_from(
         asio::buffer(m.buffer), m.sender,
         [this, to, self = shared_from_this()](error_code ec, std::size_t n) {
@@ -47,15 +48,15 @@
             return;
           }
           if (!ec) {
-            taken(to, n);
+            on_received(to, n);
           }
           receive(to);
         });
   }
 
-  void taken(MemberIndex to, std::size_t n) {
-    const auto from = parties.find(members[to].sender.port());
-    if (from == parties.end()) {
+  void on_received(MemberIndex to, std::size_t n) {
+    const auto from = members_by_port.find(members[to].sender.port());
+    if (from == members_by_port.end()) {
       ++unknown_senders;
       return;
     }
@@ -63,74 +64,75 @@
     ++c.datagrams;
     c.bytes += n;
     const auto it = faults.find({from->second, to});
-    const Fault& f = it == faults.end() ? pass : it->second;
-    if (f.drop_forward || draws.chance(f.loss)) {
+    const Fault& f = it == faults.end() ? no_fault : it->second;
+    if (f.drop_forward || random.chance(f.loss)) {
       ++c.lost;
       return;
     }
     std::string data(members[to].buffer.data(), n);
-    if (n > 0 && draws.chance(f.corrupt)) {
+    if (n > 0 && random.chance(f.corrupt)) {
       ++c.corrupted;
-      if (draws.chance(0.5)) {
-        char& byte = data[draws.below(n)];
-        byte = static_cast<char>(byte ^ static_cast<char>(1 << draws.below(8)));
+      if (random.chance(0.5)) {
+        char& byte = data[random.below(n)];
+        byte = static_cast<char>(byte ^ static_cast<char>(1 << random.below(8)));
       } else {
-        data.resize(draws.below(n));
+        data.resize(random.below(n));
       }
     }
-    if (draws.chance(f.duplicate)) {
+    if (random.chance(f.duplicate)) {
       ++c.duplicated;
       send(f, {from->second, to, data});
     }
     send(f, {from->second, to, std::move(data)});
   }
 
-  void send(const Fault& f, Flight flight) {
+  void send(const Fault& f, Datagram datagram) {
     if (f.delay.count() == 0 && f.jitter.count() == 0) {
-      return deliver(flight);
+      return deliver(datagram);
     }
-    const auto jitter = draws.below(static_cast<std::size_t>(f.jitter.count()) * 1000 + 1);
+    const auto jitter = random.below(static_cast<std::size_t>(f.jitter.count()) * 1000 + 1);
     const auto at = Clock::now() + f.delay + std::chrono::microseconds(jitter);
-    agenda.add(std::chrono::duration_cast<Duration>(at.time_since_epoch()), std::move(flight));
-    arm();
+    delayed_datagrams.add(std::chrono::duration_cast<Duration>(at.time_since_epoch()),
+                          std::move(datagram));
+    arm_timer();
   }
 
-  void arm() {
-    if (agenda.next_at() >= armed) {
+  void arm_timer() {
+    if (delayed_datagrams.next_at() >= timer_at) {
       return;
     }
-    armed = agenda.next_at();
-    timer.expires_at(Clock::time_point(std::chrono::duration_cast<Clock::duration>(armed)));
+    timer_at = delayed_datagrams.next_at();
+    timer.expires_at(Clock::time_point(std::chrono::duration_cast<Clock::duration>(timer_at)));
     timer.async_wait([this, self = shared_from_this()](error_code ec) {
       if (ec || closed) {
         return;
       }
-      armed = kNever;
+      timer_at = kNever;
       const auto now = std::chrono::duration_cast<Duration>(Clock::now().time_since_epoch());
-      while (agenda.next_at() <= now) {
-        deliver(agenda.pop());
+      while (delayed_datagrams.next_at() <= now) {
+        deliver(delayed_datagrams.pop());
       }
-      arm();
+      arm_timer();
     });
   }
 
-  // Sent from the sender's public address: the receiver knows it by no other.
-  void deliver(const Flight& flight) {
-    error_code ignored;  // a receiver that is gone loses it, as on a network
-    members[flight.from].socket.send_to(asio::buffer(flight.data), members[flight.to].real, 0,
-                                        ignored);
+  // Sends from the sender's public address, the only one by which the receiver knows it.
+  void deliver(const Datagram& datagram) {
+    error_code ignored;  // a datagram to a closed socket is lost, as on a network
+    members[datagram.from].socket.send_to(asio::buffer(datagram.data), members[datagram.to].real, 0,
+                                          ignored);
   }
 
   asio::io_context& io;
   asio::steady_timer timer;
-  Random draws;
-  std::deque<Member> members;
-  std::unordered_map<unsigned short, MemberIndex> parties;  // by the port they send from
+  Random random;
+  std::deque<MemberSocket> members;
+  std::unordered_map<unsigned short, MemberIndex> members_by_port;  // by sending port
   std::map<std::pair<MemberIndex, MemberIndex>, Fault> faults;
-  EventQueue<Flight> agenda;
-  Time armed = kNever;
+  EventQueue<Datagram> delayed_datagrams;
+  Time timer_at = kNever;
   std::uint64_t unknown_senders = 0;
-  const Fault pass{};
+  const Fault no_fault{};
   bool closed = false;
 };
 
@@ -148,15 +150,15 @@
 }
 
 DatagramMesh::MemberIndex DatagramMesh::add(const udp::endpoint& real) {
-  const MemberIndex party = state_->members.size();
+  const MemberIndex member = state_->members.size();
   state_->members.emplace_back(state_->io).real = real;
-  state_->parties[real.port()] = party;
-  state_->receive(party);
-  return party;
+  state_->members_by_port[real.port()] = member;
+  state_->receive(member);
+  return member;
 }
 
-udp::endpoint DatagramMesh::address(MemberIndex party) const {
-  return state_->members.at(party).socket.local_endpoint();
+udp::endpoint DatagramMesh::address(MemberIndex member) const {
+  return state_->members.at(member).socket.local_endpoint();
 }
 
 void DatagramMesh::set_fault(MemberIndex from, MemberIndex to, const Fault& fault) {
--- a/src/lab/faults/datagram_mesh.hpp
+++ b/src/lab/faults/datagram_mesh.hpp
@@ -1,6 +1,6 @@
-// The datagrams of a fleet, led through the laboratory: every party has a public address here, by
-// which the others know it, and faults hold from one party to another, each way on its own. Runs on
-// the caller's loop.
+// Forwards the datagrams of a fleet through the laboratory. Every member has a public address at
+// the mesh, by which the others know it. Faults apply per pair of members and direction. Runs on
+// the caller's event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,26 +18,26 @@
  public:
   using MemberIndex = std::size_t;  // in order of add()
 
-  // `seed` draws losses, copies, spoilt bits and jitter.
+  // `seed` determines losses, duplicates, corruption and jitter.
   DatagramMesh(boost::asio::io_context& io, std::uint64_t seed);
   // NOLINTNEXTLINE(bugprone-exception-escape): throws only when out of memory
   ~DatagramMesh();
   DatagramMesh(const DatagramMesh&) = delete;
 
-  // A party that sends from `real` and is to be reached there.
+  // Adds a member that sends from and receives at `real`.
   MemberIndex add(const boost::asio::ip::udp::endpoint& real);
-  boost::asio::ip::udp::endpoint address(MemberIndex party) const;  // its public one
+  boost::asio::ip::udp::endpoint address(MemberIndex member) const;  // public address at the mesh
 
-  // From now on, of what `from` sends to `to`. silentThere drops it; cut, reset and rate say
-  // nothing here.
+  // Applies from now on to datagrams from `from` to `to`. drop_forward drops them; drop_backward,
+  // disconnect, reset and the rate have no effect on datagrams.
   void set_fault(MemberIndex from, MemberIndex to, const Fault& fault);
 
   struct Counts {
-    std::uint64_t datagrams = 0, bytes = 0;  // taken from its sender, whatever becomes of them
+    std::uint64_t datagrams = 0, bytes = 0;  // received from this member, whether delivered or not
     std::uint64_t lost = 0, duplicated = 0, corrupted = 0;
   };
   const Counts& counts(MemberIndex from) const;
-  std::uint64_t unknown_senders() const;  // from an address that is no party's
+  std::uint64_t unknown_senders() const;  // datagrams received from an address of no member
 
  private:
   struct State;
--- a/src/lab/faults/proxy.cpp
+++ b/src/lab/faults/proxy.cpp
@@ -17,50 +17,52 @@
 
 namespace {
 
-constexpr std::chrono::milliseconds kRetransmit{
-    200};  // the least that Linux waits before it sends anew
-constexpr std::size_t kPiece = 16384;
+constexpr std::chrono::milliseconds kRetransmissionDelay{
+    200};  // minimum retransmission time-out of Linux
+constexpr std::size_t kPieceBytes = 16384;
 
 }  // namespace
 
 struct FaultProxy::State : std::enable_shared_from_this<FaultProxy::State> {
-  // One way of a link. One piece at a time: that bounds what the proxy holds, and a delay slows the
-  // sender down as a slow network would.
-  struct Way {
-    Way(asio::io_context& io, tcp::socket& f, tcp::socket& t, bool th)
-        : from(f), to(t), timer(io), there(th) {}
+  // One direction of a link. It carries one piece at a time: that bounds the memory of the proxy,
+  // and a delay slows the sender down as a slow network would.
+  struct Direction {
+    Direction(asio::io_context& io, tcp::socket& source, tcp::socket& sink, bool forward)
+        : from(source), to(sink), timer(io), is_forward(forward) {}
     tcp::socket &from, &to;
     asio::steady_timer timer;
-    std::array<char, kPiece> piece;
-    bool there;            // from the one who dialled
-    std::size_t held = 0;  // bytes that a silence holds back
-    bool over = false;     // and the end of the way, that nobody has heard of
+    std::array<char, kPieceBytes> piece;
+    bool is_forward;             // from the side that connected
+    std::size_t held_bytes = 0;  // bytes held back by drop_forward or drop_backward
+    bool end_held = false;       // the end of this direction is held back too
   };
   struct Link {
     explicit Link(asio::io_context& io)
-        : client(io), server(io), ways{{{io, client, server, true}, {io, server, client, false}}} {}
+        : client(io),
+          server(io),
+          directions{{{io, client, server, true}, {io, server, client, false}}} {}
     tcp::socket client, server;
-    std::array<Way, 2> ways;
+    std::array<Direction, 2> directions;
   };
   using LinkPtr = std::shared_ptr<Link>;
 
   asio::io_context& io;
   tcp::acceptor acceptor;
   tcp::endpoint target;
-  Random draws;
+  Random random;
   std::function<void(const std::string&)> log;
-  Fault now;
+  Fault fault;
   Counts counts;
   std::list<LinkPtr> links;
   bool closed = false;
 
   State(asio::io_context& context, tcp::endpoint to, std::uint64_t seed,
-        std::function<void(const std::string&)> tell)
+        std::function<void(const std::string&)> log_function)
       : io(context),
         acceptor(context, tcp::endpoint(asio::ip::address_v4::loopback(), 0)),
         target(std::move(to)),
-        draws(seed, "proxy"),
-        log(std::move(tell)) {}
+        random(seed, "proxy"),
+        log(std::move(log_function)) {}
 
   void accept() {
     auto link = std::make_shared<Link>(io);
@@ -69,14 +71,14 @@
         return;
       }
       if (!ec) {
-        self->taken(link);
+        self->on_accepted(link);
       }
       self->accept();
     });
   }
 
-  void taken(const LinkPtr& link) {
-    if (now.disconnect) {
+  void on_accepted(const LinkPtr& link) {
+    if (fault.disconnect) {
       ++counts.refused;
       error_code ignored;
       link->client.close(ignored);
@@ -86,13 +88,13 @@
     links.push_back(link);
     link->server.async_connect(target, [self = shared_from_this(), link](error_code ec) {
       if (ec) {
-        return self->drop(link, true);  // as the target itself would refuse, a moment later
+        return self->drop(link, true);  // as the target's own refusal, slightly later
       }
       error_code ignored;
       link->client.set_option(tcp::no_delay(true), ignored);
       link->server.set_option(tcp::no_delay(true), ignored);
-      for (Way& way : link->ways) {
-        self->read(link, way);
+      for (Direction& direction : link->directions) {
+        self->read(link, direction);
       }
     });
   }
@@ -105,103 +107,107 @@
     }
     link->client.close(ignored);
     link->server.close(ignored);
-    for (Way& way : link->ways) {
-      way.timer.cancel();
+    for (Direction& direction : link->directions) {
+      direction.timer.cancel();
     }
     links.remove(link);
   }
 
-  bool silent(const Way& way) const { return way.there ? now.drop_forward : now.drop_backward; }
+  bool is_blocked(const Direction& direction) const {
+    return direction.is_forward ? fault.drop_forward : fault.drop_backward;
+  }
 
-  std::chrono::microseconds wait(std::size_t bytes) {
-    std::chrono::microseconds time = now.delay;
-    if (now.jitter.count() > 0) {
+  std::chrono::microseconds delay_for(std::size_t bytes) {
+    std::chrono::microseconds time = fault.delay;
+    if (fault.jitter.count() > 0) {
       time += std::chrono::microseconds(
-          draws.below(static_cast<std::size_t>(now.jitter.count()) * 1000 + 1));
+          random.below(static_cast<std::size_t>(fault.jitter.count()) * 1000 + 1));
     }
-    while (now.loss < 1 && draws.chance(now.loss)) {
-      time += kRetransmit;
+    while (fault.loss < 1 && random.chance(fault.loss)) {
+      time += kRetransmissionDelay;
     }
-    if (now.k_bytes_per_s > 0) {
-      time += std::chrono::microseconds(bytes * 1000 / now.k_bytes_per_s);
+    if (fault.k_bytes_per_s > 0) {
+      time += std::chrono::microseconds(bytes * 1000 / fault.k_bytes_per_s);
     }
     return time;
   }
 
-  void read(const LinkPtr& link, Way& way) {
-    way.from.async_read_some(asio::buffer(way.piece),
-                             [self = shared_from_this(), link, &way](error_code ec, std::size_t n) {
-                               if (ec) {
-                                 return self->ended(link, way, ec != asio::error::eof);
-                               }
-                               self->counts.bytes += n;
-                               self->pass(link, way, n);
-                             });
+  void read(const LinkPtr& link, Direction& direction) {
+    direction.from.async_read_some(
+        asio::buffer(direction.piece),
+        [self = shared_from_this(), link, &direction](error_code ec, std::size_t n) {
+          if (ec) {
+            return self->on_read_end(link, direction, ec != asio::error::eof);
+          }
+          self->counts.bytes += n;
+          self->forward(link, direction, n);
+        });
   }
 
-  void ended(const LinkPtr& link, Way& way, bool reset) {
-    if (!way.from.is_open()) {
+  void on_read_end(const LinkPtr& link, Direction& direction, bool reset) {
+    if (!direction.from.is_open()) {
       return;
     }
-    way.over = silent(way);  // then nobody hears of it yet
-    if (!way.over) {
+    direction.end_held =
+        is_blocked(direction);  // then the other side is notified once the fault ends
+    if (!direction.end_held) {
       drop(link, reset);
     }
   }
 
-  void pass(const LinkPtr& link, Way& way, std::size_t n) {
-    const auto time = wait(n);
-    if (time.count() == 0) {
-      return write(link, way, n);
+  void forward(const LinkPtr& link, Direction& direction, std::size_t n) {
+    const auto delay = delay_for(n);
+    if (delay.count() == 0) {
+      return write(link, direction, n);
     }
-    way.timer.expires_after(time);
-    way.timer.async_wait([self = shared_from_this(), link, &way, n](error_code ec) {
+    direction.timer.expires_after(delay);
+    direction.timer.async_wait([self = shared_from_this(), link, &direction, n](error_code ec) {
       if (!ec) {
-        self->write(link, way, n);
+        self->write(link, direction, n);
       }
     });
   }
 
-  void write(const LinkPtr& link, Way& way, std::size_t n) {
-    if (!way.to.is_open()) {
+  void write(const LinkPtr& link, Direction& direction, std::size_t n) {
+    if (!direction.to.is_open()) {
       return;
     }
-    way.held = silent(way) ? n : 0;
-    if (way.held > 0) {
-      return;  // set_fault() passes it on
+    direction.held_bytes = is_blocked(direction) ? n : 0;
+    if (direction.held_bytes > 0) {
+      return;  // set_fault() forwards it later
     }
-    asio::async_write(way.to, asio::buffer(way.piece, n),
-                      [self = shared_from_this(), link, &way](error_code ec, std::size_t) {
+    asio::async_write(direction.to, asio::buffer(direction.piece, n),
+                      [self = shared_from_this(), link, &direction](error_code ec, std::size_t) {
                         if (ec) {
                           return self->drop(link, false);
                         }
-                        self->read(link, way);
+                        self->read(link, direction);
                       });
   }
 
-  void set_fault(const Fault& fault) {
-    now = fault;
+  void set_fault(const Fault& new_fault) {
+    fault = new_fault;
     if (log) {
-      log(text_of(fault));
+      log(text_of(new_fault));
     }
-    for (auto open = links; const auto& link : open) {
-      if (fault.disconnect || fault.reset) {
-        counts.reset += fault.reset ? 1 : 0;
-        drop(link, fault.reset);
+    for (auto open_links = links; const auto& link : open_links) {
+      if (new_fault.disconnect || new_fault.reset) {
+        counts.reset += new_fault.reset ? 1 : 0;
+        drop(link, new_fault.reset);
         continue;
       }
-      for (Way& way : link->ways) {
-        if (silent(way)) {
+      for (Direction& direction : link->directions) {
+        if (is_blocked(direction)) {
           continue;
         }
-        if (way.over) {
+        if (direction.end_held) {
           drop(link, true);
-        } else if (way.held > 0) {
-          write(link, way, std::exchange(way.held, 0));
+        } else if (direction.held_bytes > 0) {
+          write(link, direction, std::exchange(direction.held_bytes, 0));
         }
       }
     }
-    now.reset = false;  // once
+    fault.reset = false;  // a reset applies only once
   }
 };
 
@@ -216,7 +222,7 @@
   state_->closed = true;
   error_code ignored;
   state_->acceptor.close(ignored);
-  for (auto open = state_->links; const auto& link : open) {
+  for (auto open_links = state_->links; const auto& link : open_links) {
     state_->drop(link, false);
   }
 }
@@ -228,7 +234,7 @@
   state_->set_fault(fault);
 }
 const Fault& FaultProxy::fault() const {
-  return state_->now;
+  return state_->fault;
 }
 const FaultProxy::Counts& FaultProxy::counts() const {
   return state_->counts;
--- a/src/lab/faults/proxy.hpp
+++ b/src/lab/faults/proxy.hpp
@@ -1,6 +1,6 @@
-// A loopback TCP proxy that stands between two parties of a rig (gateway and host, gateway and
-// discovery) and applies faults to what passes. It runs on the caller's event loop; every fault set
-// is logged, so that a run can be read back beside its seed.
+// A loopback TCP proxy between two processes of a rig (gateway and host, or gateway and discovery)
+// that applies faults to the links. Runs on the caller's event loop. Every fault set is logged, so
+// that a run can be retraced from its log and seed.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,8 +16,8 @@
 
 class FaultProxy {
  public:
-  // Listens on a free loopback port and forwards each link to `target`. `log` is told each fault
-  // set, as one line. `seed` draws jitter and losses.
+  // Listens on a free loopback port and forwards each link to `target`. `log` is called with the
+  // text form of each fault set. `seed` determines jitter and losses.
   FaultProxy(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& target,
              std::uint64_t seed, std::function<void(const std::string&)> log = {});
   // NOLINTNEXTLINE(bugprone-exception-escape): throws only when out of memory
@@ -25,12 +25,13 @@
   FaultProxy(const FaultProxy&) = delete;
 
   boost::asio::ip::tcp::endpoint address() const;
-  // Holds from now on, also for links that are open. What a silence held back passes once it is
-  // over.
+  // Applies from now on, also to open links. Data held back by drop_forward or drop_backward is
+  // forwarded once the fault ends.
   void set_fault(const Fault& fault);
   const Fault& fault() const;
 
   struct Counts {
+    // `refused`: closed right after being accepted; `bytes`: read from both sides
     std::uint64_t accepted = 0, refused = 0, reset = 0, bytes = 0;
   };
   const Counts& counts() const;
--- a/src/lab/live/gateway_process.cpp
+++ b/src/lab/live/gateway_process.cpp
@@ -23,7 +23,9 @@
 using boost::asio::ip::tcp;
 using nlohmann::json;
 
-constexpr int kNice = 5;  // where cores are scarce the referee comes before those it judges
+// Gateways run at a lower priority than the laboratory: on a machine with few cores a delayed
+// laboratory would make the run void.
+constexpr int kGatewayNiceness = 5;
 
 }  // namespace
 
@@ -81,26 +83,26 @@
   const std::string log = (config_.folder / "log.txt").string();
   char* arguments[] = {program_.data(), nullptr};
   const pid_t laboratory = ::getpid();
-  // vfork: hundreds are started within a second, and to copy the laboratory's page tables for each
-  // would make it late. The child makes only system calls until it is another program.
+  // vfork: hundreds of gateways are started within a second, and copying the laboratory's page
+  // tables for each would delay its own tasks. The child makes only system calls before execve.
   pid_ = ::vfork();
   if (pid_ < 0) {
-    throw std::runtime_error("no further process can be started");
+    throw std::runtime_error("cannot create a gateway process: vfork failed");
   }
   if (pid_ == 0) {
     const int fd = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
     if (fd >= 0) {
       ::dup2(fd, 1), ::dup2(fd, 2);
     }
-    ::close_range(3, ~0U, 0);  // Danger: it would hold the hosts' sockets open beyond their end
-    ::setpgid(0, 0);           // Ctrl-C reaches the laboratory, which stops the gateways itself
-    // Ended with the laboratory even when it is killed and cannot end its children itself; where it
-    // died before this line, at once.
+    ::close_range(3, ~0U, 0);  // inherited sockets of hosts would stay open after the hosts stop
+    ::setpgid(0, 0);           // Ctrl-C reaches only the laboratory, which stops the gateways
+    // Ends this process when the laboratory dies, even by SIGKILL. If the laboratory died before
+    // this call, no signal comes: getppid() detects that.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != laboratory) {
       ::_exit(126);
     }
-    ::setpriority(PRIO_PROCESS, 0, kNice);
+    ::setpriority(PRIO_PROCESS, 0, kGatewayNiceness);
     ::execve(program_.c_str(), arguments, environment.data());
     ::_exit(127);
   }
@@ -208,13 +210,13 @@
 }
 
 tcp::endpoint free_address() {
-  // The kernel may name a port twice once it is closed again; a rig of 20 gateways asks for 40 of
-  // them, so each is named once by this process.
-  static std::set<unsigned short> given;
+  // The kernel may choose the same port again once it is closed. A rig of 20 gateways needs 40
+  // ports, so this process returns each port only once, unless 100 attempts find no new one.
+  static std::set<unsigned short> used_ports;
   boost::asio::io_context io;
-  for (int tries = 0;; ++tries) {
+  for (int attempts = 0;; ++attempts) {
     tcp::acceptor acceptor(io, {boost::asio::ip::address_v4::loopback(), 0});
-    if (given.insert(acceptor.local_endpoint().port()).second || tries == 100) {
+    if (used_ports.insert(acceptor.local_endpoint().port()).second || attempts == 100) {
       return acceptor.local_endpoint();
     }
   }
--- a/src/lab/live/gateway_process.hpp
+++ b/src/lab/live/gateway_process.hpp
@@ -1,4 +1,4 @@
-// A real gateway as a child process, configured as the platform does it (DEPLOY): GW_* variables
+// A real gateway as a child process, configured like on the platform: by GW_* environment variables
 // and a JSON file.
 #pragma once
 
@@ -14,42 +14,44 @@
 
 namespace gateway::lab {
 
+// Owns one child process at a time; it can be started again after it ended.
 class GatewayProcess {
  public:
   struct Config {
     std::string name;
     boost::asio::ip::tcp::endpoint listen, admin, discovery;
-    std::filesystem::path folder;   // its own: configuration, log, TMPDIR
-    std::filesystem::path fleet{};  // operator file of its fleet; empty: none
+    std::filesystem::path folder;   // of this gateway only: configuration, log, TMPDIR
+    std::filesystem::path fleet{};  // operator file (GW_FLEET); empty: no fleet
   };
-  // Does not start it. `program`: the gateway's executable.
+  // `program` is the path of the gateway executable. Does not start the process.
   GatewayProcess(std::string program, Config config);
-  ~GatewayProcess();  // kills it if it still runs
+  ~GatewayProcess();  // kills a running process
   GatewayProcess(const GatewayProcess&) = delete;
 
-  // Writes the configuration and starts. Throws std::runtime_error when the program cannot be
-  // started.
+  // Writes the configuration file and starts the process. Throws std::runtime_error when no process
+  // can be created; a program that cannot be executed ends the child at once instead.
   void start(const nlohmann::json& settings, const nlohmann::json& known, std::uint64_t seed);
-  void kill(int signal);
-  bool running();                      // also collects its end
-  bool died() const { return died_; }  // ended without having been killed by us
-  double cpu_seconds() const;          // user and system time so far; 0 once it has ended
+  void kill(int signal);               // sends a signal; does nothing if no process runs
+  bool running();                      // also reaps an ended process
+  bool died() const { return died_; }  // ended without SIGTERM or SIGKILL by kill()
+  double cpu_seconds() const;          // user and system time so far; 0 if it does not run
   struct Usage {
     double resident_mb = 0;
     std::size_t descriptors = 0, threads = 0;
   };
-  Usage usage() const;  // now; zeros once it has ended
+  Usage usage() const;  // at present; zeros if it does not run
   pid_t id() const { return pid_; }
   const Config& config() const { return config_; }
 
-  // A gateway is asked with kReadinessRequest whether it takes clients, once each
-  // kReadinessPollInterval, and answers 200 then; one that does not within kReadinessTimeout has
+  // A gateway accepts clients once it responds to kReadinessRequest with status 200. The request is
+  // repeated every kReadinessPollInterval; a gateway that is not ready within kReadinessTimeout has
   // failed.
   static constexpr const char* kReadinessRequest =
       "GET /up HTTP/1.1\r\nHost: lab\r\nConnection: close\r\n\r\n";
   static constexpr auto kReadinessPollInterval = std::chrono::milliseconds(50);
   static constexpr auto kReadinessTimeout = std::chrono::seconds(10);
-  std::string not_ready_message() const;  // what to say of it then, with where its log is
+  // Error message for a gateway that is not ready in time; names its log file.
+  std::string not_ready_message() const;
 
  private:
   std::string program_;
@@ -58,12 +60,14 @@
   bool killed_ = false, died_ = false;
 };
 
-// The settings object of the platform for a scenario's gateway.
+// The "settings" object of the configuration file, as the platform writes it, for a scenario's
+// gateway.
 nlohmann::json platform_settings(const load_balancer::Settings& module, const Scenario& scenario);
 
 std::string text_of(const boost::asio::ip::tcp::endpoint& endpoint);  // address:port
 
-// A loopback address that was free a moment ago.
+// A loopback address whose port was free at the time of the call; another process may bind it
+// since.
 boost::asio::ip::tcp::endpoint free_address();
 
 }  // namespace gateway::lab
--- a/src/lab/live/http_exchange.cpp
+++ b/src/lab/live/http_exchange.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-constexpr std::uint64_t kBodyMost = std::uint64_t{64} << 20;
+constexpr std::uint64_t kMaxBodyBytes = std::uint64_t{64} << 20;
 
 }  // namespace
 
@@ -33,7 +33,7 @@
 }
 
 void Exchange::abandon() {
-  done_ = nullptr;
+  callback_ = nullptr;
   error_code ignored;
   if (socket_) {
     socket_->close(ignored);
@@ -50,33 +50,34 @@
         if (self->written_) {
           self->written_();
         }
-        self->parser_.body_limit(kBodyMost);
-        beast_http::async_read(
-            *self->socket_, self->buffer_, self->parser_, [self](error_code bad, std::size_t n) {
-              self->outcome_.untouched = n == 0 && self->buffer_.size() == 0;
-              if (bad) {
-                return self->end();
-              }
-              auto& message = self->parser_.get();
-              self->outcome_.answered = true;
-              self->outcome_.status = static_cast<int>(message.result_int());
-              self->outcome_.body = std::move(message.body());
-              self->outcome_.retry_after = std::string(message[beast_http::field::retry_after]);
-              self->end(message.keep_alive());
-            });
+        self->parser_.body_limit(kMaxBodyBytes);
+        beast_http::async_read(*self->socket_, self->buffer_, self->parser_,
+                               [self](error_code read_error, std::size_t n) {
+                                 self->outcome_.untouched = n == 0 && self->buffer_.size() == 0;
+                                 if (read_error) {
+                                   return self->end();
+                                 }
+                                 auto& message = self->parser_.get();
+                                 self->outcome_.answered = true;
+                                 self->outcome_.status = static_cast<int>(message.result_int());
+                                 self->outcome_.body = std::move(message.body());
+                                 self->outcome_.retry_after =
+                                     std::string(message[beast_http::field::retry_after]);
+                                 self->end(message.keep_alive());
+                               });
       });
 }
 
 void Exchange::end(bool keep) {
-  if (!done_) {
+  if (!callback_) {
     return;
   }
-  const Done done = std::exchange(done_, nullptr);
+  const Callback callback = std::exchange(callback_, nullptr);
   if (!keep) {
     error_code ignored;
     socket_->close(ignored);
   }
-  done(outcome_, keep ? std::move(socket_) : nullptr);
+  callback(outcome_, keep ? std::move(socket_) : nullptr);
 }
 
 }  // namespace gateway::lab
--- a/src/lab/live/http_exchange.hpp
+++ b/src/lab/live/http_exchange.hpp
@@ -1,5 +1,5 @@
-// One HTTP request of the laboratory's to an address: written whole, its answer read whole. The
-// connection may be used for the next.
+// One HTTP request of the laboratory and its response, both handled as a whole. The connection may
+// be reused for a further request.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -12,28 +12,32 @@
 
 namespace gateway::lab {
 
+// Keeps itself alive until its callback is called or it is abandoned. All calls are made on the
+// socket's event loop.
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   using Socket = boost::asio::ip::tcp::socket;
   struct Outcome {
-    bool connected = false, written = false, answered = false;
-    bool untouched = true;  // no byte came back
+    bool connected = false, written = false;
+    bool answered = false;  // a whole response was received; status and body are set
+    bool untouched = true;  // no byte of a response was received
     int status = 0;
     std::string body, retry_after;
   };
-  using Done = std::function<void(const Outcome&, std::unique_ptr<Socket> kept)>;
+  using Callback = std::function<void(const Outcome&, std::unique_ptr<Socket> connection)>;
 
-  // `socket`: an open one is used, a closed one connected. `written` is called once the last byte
-  // is.
+  // An open `socket` is used as it is, a closed one is connected by begin(). `written` is called
+  // once the last byte of `text` is written. `callback` receives the connection if it can be
+  // reused, else null.
   Exchange(std::unique_ptr<Socket> socket, std::string text, std::function<void()> written,
-           Done done)
+           Callback callback)
       : socket_(std::move(socket)),
         text_(std::move(text)),
         written_(std::move(written)),
-        done_(std::move(done)) {}
+        callback_(std::move(callback)) {}
 
   void begin(const boost::asio::ip::tcp::endpoint& to);
-  void abandon();  // its client leaves; `done` is not called
+  void abandon();  // closes the connection; the callback is not called
 
  private:
   void write();
@@ -42,7 +46,7 @@
   std::unique_ptr<Socket> socket_;
   std::string text_;
   std::function<void()> written_;
-  Done done_;
+  Callback callback_;
   boost::beast::flat_buffer buffer_;
   boost::beast::http::response_parser<boost::beast::http::string_body> parser_;
   Outcome outcome_;
--- a/src/lab/live/real_time.cpp
+++ b/src/lab/live/real_time.cpp
@@ -12,19 +12,19 @@
 namespace {
 
 namespace fs = std::filesystem;
-std::atomic<bool> came{false};
+std::atomic<bool> signal_received{false};
 
 }  // namespace
 
 void install_signal_handlers() {
   ::signal(SIGPIPE, SIG_IGN);
   for (int signal : {SIGINT, SIGTERM}) {
-    ::signal(signal, [](int) { came = true; });
+    ::signal(signal, [](int) { signal_received = true; });
   }
 }
 
 bool interrupted() {
-  return came;
+  return signal_received;
 }
 
 std::string path_beside_executable(const char* name) {
@@ -34,14 +34,15 @@
 
 void require_executable(const std::string& path) {
   if (::access(path.c_str(), X_OK) != 0) {
-    throw BadInput(path + ": is no program; name the gateway with --gateway");
+    throw BadInput(path +
+                   ": is not an executable file; set the path of the gateway with --gateway");
   }
 }
 
 TemporaryFolder::TemporaryFolder() {
   std::string name = (fs::temp_directory_path() / "gateway-lab-XXXXXX").string();
   if (!::mkdtemp(name.data())) {
-    throw BadInput(name + ": cannot be made");
+    throw BadInput(name + ": the temporary folder cannot be created");
   }
   path_ = name;
 }
--- a/src/lab/live/real_time.hpp
+++ b/src/lab/live/real_time.hpp
@@ -1,5 +1,5 @@
-// What commands that work in real time share: interrupts, the gateway's program, a folder for its
-// files.
+// Helpers of the commands that run in real time: interrupts, the gateway executable, a temporary
+// folder for its files.
 #pragma once
 
 #include <filesystem>
@@ -7,15 +7,16 @@
 
 namespace gateway::lab {
 
-// from now on Ctrl-C and SIGTERM do not end the process; SIGPIPE is ignored
+// After this call SIGINT (Ctrl-C) and SIGTERM only set interrupted(); SIGPIPE is ignored.
 void install_signal_handlers();
-bool interrupted();  // one of them came
+bool interrupted();  // whether SIGINT or SIGTERM was received
 
+// Path of `name` in the folder of the running executable.
 std::string path_beside_executable(const char* name);
-void require_executable(const std::string& path);  // throws BadInput if it can't be run
+void require_executable(const std::string& path);  // throws BadInput if the file is not executable
 
-// A folder of its own under the temporary one, gone with the object. Throws BadInput if it can't be
-// made.
+// A new folder under the system's temporary folder, removed with its contents by the destructor.
+// The constructor throws BadInput if the folder cannot be created.
 class TemporaryFolder {
  public:
   TemporaryFolder();
--- a/src/lab/rig/links.cpp
+++ b/src/lab/rig/links.cpp
@@ -5,64 +5,67 @@
 namespace gateway::lab {
 
 RigLinks::RigLinks(boost::asio::io_context& io, const RigPlan& plan, std::uint32_t gateways,
-                   std::uint64_t seed, Place discovery, Place host)
+                   std::uint64_t seed, AddressOf discovery, AddressOf host)
     : io_(io),
       plan_(plan),
       seed_(seed),
-      discovery_(std::move(discovery)),
-      host_(std::move(host)),
-      on_(plan.faults.size(), false),
-      discoveries_(gateways),
-      groups_(gateways) {
+      discovery_address_(std::move(discovery)),
+      host_address_(std::move(host)),
+      active_(plan.faults.size(), false),
+      discovery_proxies_(gateways),
+      fault_groups_(gateways) {
   for (std::size_t f = 0; f < plan.faults.size(); ++f) {
     for (const std::uint32_t g : plan.faults[f].gateways.below(gateways)) {
       if (plan.faults[f].to_hosts()) {
-        groups_[g].push_back(f);
-      } else if (!plan.faults[f].to_gateways() && !discoveries_[g]) {
-        discoveries_[g] = std::make_unique<FaultProxy>(io, discovery_(g), seed ^ (g + 1));
+        fault_groups_[g].push_back(f);
+      } else if (!plan.faults[f].to_gateways() && !discovery_proxies_[g]) {
+        discovery_proxies_[g] =
+            std::make_unique<FaultProxy>(io, discovery_address_(g), seed ^ (g + 1));
       }
     }
   }
 }
 
 RigLinks::Endpoint RigLinks::discovery_of(std::uint32_t gateway) const {
-  return discoveries_.at(gateway) ? discoveries_[gateway]->address() : discovery_(gateway);
+  return discovery_proxies_.at(gateway) ? discovery_proxies_[gateway]->address()
+                                        : discovery_address_(gateway);
 }
 
 RigLinks::Endpoint RigLinks::host_of(std::uint32_t gateway, std::uint32_t host) {
-  const Group& group = groups_.at(gateway);
+  const FaultGroup& group = fault_groups_.at(gateway);
   if (std::none_of(group.begin(), group.end(),
                    [&](std::size_t f) { return plan_.faults[f].hosts.contains(host); })) {
-    return host_(host);
+    return host_address_(host);
   }
-  std::unique_ptr<FaultProxy>& proxy = hosts_[{group, host}];
+  std::unique_ptr<FaultProxy>& proxy = host_proxies_[{group, host}];
   if (!proxy) {
-    proxy = std::make_unique<FaultProxy>(io_, host_(host), seed_ ^ (0x10000ULL + hosts_.size()));
-    proxy->set_fault(at(group, host));
+    proxy = std::make_unique<FaultProxy>(io_, host_address_(host),
+                                         seed_ ^ (0x10000ULL + host_proxies_.size()));
+    proxy->set_fault(fault_at(group, host));
   }
   return proxy->address();
 }
 
-void RigLinks::turn(std::size_t fault, bool on) {
-  on_.at(fault) = on;
+void RigLinks::set_active(std::size_t fault, bool active) {
+  active_.at(fault) = active;
   const RigFault& changed = plan_.faults[fault];
   if (changed.to_hosts()) {
-    for (auto& [place, proxy] : hosts_) {
-      const auto& [group, host] = place;
+    for (auto& [key, proxy] : host_proxies_) {
+      const auto& [group, host] = key;
       if (changed.hosts.contains(host) &&
           std::find(group.begin(), group.end(), fault) != group.end()) {
-        proxy->set_fault(at(group, host));
+        proxy->set_fault(fault_at(group, host));
       }
     }
     return;
   }
-  const auto gateways = static_cast<std::uint32_t>(discoveries_.size());
+  const auto gateways = static_cast<std::uint32_t>(discovery_proxies_.size());
   if (changed.to_gateways()) {
     for (std::uint32_t a = 0; mesh_ && a < gateways; ++a) {
       for (std::uint32_t b = 0; b < gateways; ++b) {
         if (a != b && changed.gateways.contains(a) && changed.others.contains(b)) {
-          mesh_->set_fault(a, b, between(a, b));
-          mesh_->set_fault(b, a, between(b, a));
+          mesh_->set_fault(a, b, fault_between(a, b));
+          mesh_->set_fault(b, a, fault_between(b, a));
         }
       }
     }
@@ -70,24 +73,25 @@
   }
   for (std::uint32_t g = 0; g < gateways; ++g) {
     if (changed.gateways.contains(g)) {
-      discoveries_[g]->set_fault(at(g));
+      discovery_proxies_[g]->set_fault(fault_at(g));
     }
   }
 }
 
-void RigLinks::mesh_gateways(const std::vector<boost::asio::ip::udp::endpoint>& real) {
+void RigLinks::connect_gateways(const std::vector<boost::asio::ip::udp::endpoint>& real) {
   mesh_ = std::make_unique<DatagramMesh>(io_, seed_);
   for (const auto& endpoint : real) {
     mesh_->add(endpoint);
   }
 }
 
-// Of what one gateway sends another: a fault named from the other's side meets it on its way back.
-Fault RigLinks::between(std::uint32_t from, std::uint32_t to) const {
+// The combined fault on datagrams from one gateway to another. For a fault that is listed from the
+// other gateway's side, these datagrams travel in its backward direction.
+Fault RigLinks::fault_between(std::uint32_t from, std::uint32_t to) const {
   Fault sum;
-  for (std::size_t f = 0; f < on_.size(); ++f) {
+  for (std::size_t f = 0; f < active_.size(); ++f) {
     const RigFault& fault = plan_.faults[f];
-    if (!on_[f] || !fault.to_gateways()) {
+    if (!active_[f] || !fault.to_gateways()) {
       continue;
     }
     if (fault.gateways.contains(from) && fault.others.contains(to)) {
@@ -101,20 +105,21 @@
   return sum;
 }
 
-Fault RigLinks::at(std::uint32_t gateway) const {
+Fault RigLinks::fault_at(std::uint32_t gateway) const {
   Fault sum;
-  for (std::size_t f = 0; f < on_.size(); ++f) {
-    if (on_[f] && plan_.faults[f].to == "discovery" && plan_.faults[f].gateways.contains(gateway)) {
+  for (std::size_t f = 0; f < active_.size(); ++f) {
+    if (active_[f] && plan_.faults[f].to == "discovery" &&
+        plan_.faults[f].gateways.contains(gateway)) {
       sum = combine(sum, plan_.faults[f].fault);
     }
   }
   return sum;
 }
 
-Fault RigLinks::at(const Group& group, std::uint32_t host) const {
+Fault RigLinks::fault_at(const FaultGroup& group, std::uint32_t host) const {
   Fault sum;
   for (const std::size_t f : group) {
-    if (on_[f] && plan_.faults[f].hosts.contains(host)) {
+    if (active_[f] && plan_.faults[f].hosts.contains(host)) {
       sum = combine(sum, plan_.faults[f].fault);
     }
   }
@@ -122,9 +127,9 @@
 }
 
 std::size_t RigLinks::proxies() const {
-  return hosts_.size() +
-         static_cast<std::size_t>(std::count_if(discoveries_.begin(), discoveries_.end(),
-                                                [](const auto& p) { return p != nullptr; }));
+  return host_proxies_.size() + static_cast<std::size_t>(std::count_if(
+                                    discovery_proxies_.begin(), discovery_proxies_.end(),
+                                    [](const auto& p) { return p != nullptr; }));
 }
 
 }  // namespace gateway::lab
--- a/src/lab/rig/plan.cpp
+++ b/src/lab/rig/plan.cpp
@@ -12,10 +12,10 @@
 
 const std::vector<Field<RigFault>> kFault{
     {"from_s", "s", 0, 86400, "after the clients began", &RigFault::from_s},
-    {"for_s", "s", 0.001, 86400, "then the links pass again", &RigFault::for_s},
-    {"gateways", "", 0, 0, "which: all, N, A-B, EVERY:OFFSET, joined by commas; !PART takes away",
+    {"for_s", "s", 0.001, 86400, "duration; the links work normally afterwards", &RigFault::for_s},
+    {"gateways", "", 0, 0, "which: all, N, A-B, EVERY:OFFSET, joined by commas; !PART excludes",
      &RigFault::gateways_text},
-    {"to", "", 0, 0, R"("discovery", "hosts" or "gateways" (what they tell each other))",
+    {"to", "", 0, 0, R"("discovery", "hosts" or "gateways" (the datagrams between them))",
      &RigFault::to},
     {"others", "", 0, 0, R"(which other gateways, as for gateways; only with "to": "gateways")",
      &RigFault::others_text},
@@ -29,49 +29,55 @@
 
 const std::vector<Field<RigMove>> kMove{
     {"at_s", "s", 0, 86400, "after the clients began", &RigMove::at_s},
-    {"for_s", "s", 0.001, 600, "paused, or down until it is started again", &RigMove::for_s},
-    {"over_s", "s", 0, 600, "the gateways' turns are spread over this time", &RigMove::over_s},
-    {"back_over_s", "s", 0, 600, "and their ways back over this much more", &RigMove::back_over_s},
-    {"gateways", "", 0, 0, "which: all, N, A-B, EVERY:OFFSET, joined by commas; !PART takes away",
+    {"for_s", "s", 0.001, 600, "duration of the pause, or of the time until the restart",
+     &RigMove::for_s},
+    {"over_s", "s", 0, 600, "the moves of the gateways begin spread over this time",
+     &RigMove::over_s},
+    {"back_over_s", "s", 0, 600, "and end spread over this much additional time",
+     &RigMove::back_over_s},
+    {"gateways", "", 0, 0, "which: all, N, A-B, EVERY:OFFSET, joined by commas; !PART excludes",
      &RigMove::gateways_text},
     {"what", "", 0, 0,
-     R"("pause" (SIGSTOP, SIGCONT), "kill" (SIGKILL) or "stop" (SIGTERM), then a new start)",
+     R"("pause" (SIGSTOP, SIGCONT), "kill" (SIGKILL) or "stop" (SIGTERM), then a restart)",
      &RigMove::what_text}};
 
 const std::vector<Field<RigBounds>> kBounds{
-    {"served", "share", 0, 1, "of the worth in time, at least", &RigBounds::served},
+    {"served", "share", 0, 1, "of the value earned in time, at least", &RigBounds::served},
     {"max_over_mean", "times", 1, 1000, "of requests at one host, at most",
      &RigBounds::max_over_mean},
     {"variation", "", 0, 1000, "coefficient of variation over the hosts, at most",
      &RigBounds::variation},
-    {"idle_hosts", "", 0, 100000, "under a quarter of the mean, at most", &RigBounds::idle_hosts},
+    {"idle_hosts", "", 0, 100000, "hosts with less than a quarter of the mean, at most",
+     &RigBounds::idle_hosts},
     {"herd_peak", "times", 1, 1000,
-     "most held at one host over the mean of the hosts' peaks, in the 2 s after gateways came back",
+     "highest peak of active requests over the mean peak of the hosts, in the 2 s after gateways "
+     "are ready again",
      &RigBounds::herd_peak},
     {"handshakes_per_request", "", 0, 100, "at most", &RigBounds::handshakes_per_request},
-    {"from_s", "s", 0, 86400, "spread is counted from here on", &RigBounds::from_s},
+    {"from_s", "s", 0, 86400, "the spread is counted from here on", &RigBounds::from_s},
     {"retries_over", "uses", 0, 1e9, "of the fleet's retry budget beyond it in any window, at most",
      &RigBounds::retries_over},
     {"limits_over", "uses", 0, 1e9, "of any limit beyond it in any window, at most",
      &RigBounds::limits_over},
-    {"detect_p99_s", "s", 0, 600, "until a killed gateway is doubted by another, at most",
+    {"detect_p99_s", "s", 0, 600, "until a killed gateway is suspected by another, at most",
      &RigBounds::detect_p99_s},
-    {"false_deaths", "", 0, 1e9, "gateways held for dead that lived and were heard, at most",
+    {"false_deaths", "", 0, 1e9, "live and reachable gateways declared dead, at most",
      &RigBounds::false_deaths},
     {"healed_s", "s", 0, 600,
-     "after the last split until nobody holds a living one for dead, at most",
+     "from the end of the last partition until no live gateway is regarded as dead, at most",
      &RigBounds::healed_s},
-    {"bytes_per_member_s", "B/s", 0, 1e9, "that a gateway tells others, in the mean, at most",
+    {"bytes_per_member_s", "B/s", 0, 1e9, "that a gateway sends to the others, mean, at most",
      &RigBounds::bytes_per_member_s},
-    {"bytes_from_s", "s", 0, 86400, "these are counted from so long after a gateway's start",
+    {"bytes_from_s", "s", 0, 86400, "bytes are counted from this long after a gateway's start",
      &RigBounds::bytes_from_s},
-    {"hosts_out", "", 0, 100000, "by the fleet's word at once, at most", &RigBounds::hosts_out},
-    {"hosts_ever_out", "", 0, 100000, "by the fleet's word at any time, at least",
+    {"hosts_out", "", 0, 100000, "hosts ejected by the fleet at once, at most",
+     &RigBounds::hosts_out},
+    {"hosts_ever_out", "", 0, 100000, "hosts ejected by the fleet at any time, at least",
      &RigBounds::hosts_ever_out}};
 
 const std::vector<Field<RigPlan>> kPlan{
-    {"name", "", 0, 0, "name of the play", &RigPlan::name},
-    {"about", "", 0, 0, "what it shows, in a sentence", &RigPlan::about},
+    {"name", "", 0, 0, "name of the run", &RigPlan::name},
+    {"about", "", 0, 0, "what it shows, in one sentence", &RigPlan::about},
     {"scenario", "", 0, 0, "scenario file, named from this one's folder", &RigPlan::scenario_file}};
 
 std::uint32_t number_of(std::string_view text, std::string_view part) {
@@ -80,7 +86,7 @@
   if (error != std::errc{} || end != text.data() + text.size()) {
     throw std::invalid_argument(
         "'" + std::string(part) +
-        "': want all, N, A-B or EVERY:OFFSET, joined by commas, ! takes away");
+        "': expected all, N, A-B or EVERY:OFFSET, joined by commas, !PART excludes");
   }
   return value;
 }
@@ -116,7 +122,7 @@
     at = comma + 1;
     Part p;
     if (!part.empty() && part[0] == '!') {
-      p.without = true, part.remove_prefix(1);
+      p.excluded = true, part.remove_prefix(1);
     }
     if (const auto colon = part.find(':'); colon != std::string_view::npos) {
       p.every = number_of(part.substr(0, colon), whole);
@@ -135,7 +141,7 @@
     }
     parts_.push_back(p);
   }
-  if (std::all_of(parts_.begin(), parts_.end(), [](const Part& p) { return p.without; })) {
+  if (std::all_of(parts_.begin(), parts_.end(), [](const Part& p) { return p.excluded; })) {
     parts_.insert(parts_.begin(), Part{});
   }
 }
@@ -143,11 +149,11 @@
 bool IndexSet::contains(std::uint32_t number) const {
   bool in = false;
   for (const Part& p : parts_) {
-    const bool meant = number >= p.first && number <= p.last && number % p.every == p.offset;
-    if (meant && p.without) {
+    const bool matches = number >= p.first && number <= p.last && number % p.every == p.offset;
+    if (matches && p.excluded) {
       return false;
     }
-    in |= meant;
+    in |= matches;
   }
   return in;
 }
@@ -197,14 +203,14 @@
     }
     if (f.to_gateways() && p.fleet.empty()) {
       m.push_back(
-          {at + ".to", R"(is "gateways", which tell each other nothing: "fleet" is missing)"});
+          {at + ".to", R"(is "gateways", which requires shared state: "fleet" is missing)"});
     }
     f.others = IndexSet(f.others_text);
     f.gateways = IndexSet(f.gateways_text);
     f.hosts = IndexSet(f.hosts_text);
     f.fault = read_fault(f.fault_text);
     if (f.for_s <= 0) {
-      m.push_back({at + ".for_s", "is missing; how long the fault lasts, in s"});
+      m.push_back({at + ".for_s", "is missing; expected the duration of the fault in s"});
     }
   });
   list(object, "moves", kMove, p.moves, m, [&](RigMove& move, const std::string& at) {
--- a/src/lab/rig/spread.cpp
+++ b/src/lab/rig/spread.cpp
@@ -27,13 +27,13 @@
   return table[slot][host];
 }
 
-void HostArrivals::add_request(double at, std::uint32_t host, std::size_t holds) {
+void HostArrivals::add_request(double at, std::uint32_t host, std::size_t active) {
   if (at < 0) {
     return;
   }
   ++cell(requests, at, host);
-  std::uint32_t& most = cell(peak_active, at, host);
-  most = std::max(most, static_cast<std::uint32_t>(holds));
+  std::uint32_t& peak = cell(peak_active, at, host);
+  peak = std::max(peak, static_cast<std::uint32_t>(active));
 }
 
 void HostArrivals::add_handshake(double at, std::uint32_t host) {
@@ -59,46 +59,46 @@
   return out;
 }
 
-Spread spread_of(const HostArrivals& landed, double from_s, double to_s,
+Spread spread_of(const HostArrivals& arrivals, double from_s, double to_s,
                  const std::vector<std::size_t>& hosts) {
-  const auto from = static_cast<std::size_t>(std::max(from_s / landed.slot_s + 1e-9, 0.0));
-  const auto to = std::min(static_cast<std::size_t>(std::max(to_s / landed.slot_s + 1e-9, 0.0)),
-                           landed.requests.size());
-  std::vector<std::size_t> chosen = hosts;
-  if (chosen.empty()) {
+  const auto from = static_cast<std::size_t>(std::max(from_s / arrivals.slot_s + 1e-9, 0.0));
+  const auto to = std::min(static_cast<std::size_t>(std::max(to_s / arrivals.slot_s + 1e-9, 0.0)),
+                           arrivals.requests.size());
+  std::vector<std::size_t> selected = hosts;
+  if (selected.empty()) {
     std::size_t count = 0;
-    for (const auto& row : landed.requests) {
+    for (const auto& row : arrivals.requests) {
       count = std::max(count, row.size());
     }
-    chosen.resize(count);
-    std::iota(chosen.begin(), chosen.end(), std::size_t{0});
+    selected.resize(count);
+    std::iota(selected.begin(), selected.end(), std::size_t{0});
   }
   Spread out;
-  std::vector<double> totals(chosen.size(), 0);
-  std::vector<double> peaks(chosen.size(), 0);
+  std::vector<double> totals(selected.size(), 0);
+  std::vector<double> peaks(selected.size(), 0);
   double handshakes = 0;
   for (std::size_t s = from; s < to; ++s) {
-    for (std::size_t i = 0; i < chosen.size(); ++i) {
-      totals[i] += cell_of(landed.requests, s, chosen[i]);
-      peaks[i] = std::max(peaks[i], cell_of(landed.peak_active, s, chosen[i]));
-      handshakes += cell_of(landed.handshakes, s, chosen[i]);
+    for (std::size_t i = 0; i < selected.size(); ++i) {
+      totals[i] += cell_of(arrivals.requests, s, selected[i]);
+      peaks[i] = std::max(peaks[i], cell_of(arrivals.peak_active, s, selected[i]));
+      handshakes += cell_of(arrivals.handshakes, s, selected[i]);
     }
   }
-  const auto n = static_cast<double>(chosen.size());
-  const double all = std::accumulate(totals.begin(), totals.end(), 0.0);
-  if (all <= 0) {
+  const auto host_count = static_cast<double>(selected.size());
+  const double total = std::accumulate(totals.begin(), totals.end(), 0.0);
+  if (total <= 0) {
     return out;
   }
-  out.mean_requests = all / n;
-  out.handshakes_per_request = handshakes / all;
+  out.mean_requests = total / host_count;
+  out.handshakes_per_request = handshakes / total;
   double squares = 0;
   for (double t : totals) {
     squares += (t - out.mean_requests) * (t - out.mean_requests);
     out.idle += t < out.mean_requests / 4 ? 1 : 0;
   }
   out.max_over_mean = *std::max_element(totals.begin(), totals.end()) / out.mean_requests;
-  out.variation = std::sqrt(squares / n) / out.mean_requests;
-  const double mean_peak = std::accumulate(peaks.begin(), peaks.end(), 0.0) / n;
+  out.variation = std::sqrt(squares / host_count) / out.mean_requests;
+  const double mean_peak = std::accumulate(peaks.begin(), peaks.end(), 0.0) / host_count;
   if (mean_peak > 0) {
     out.herd_peak = *std::max_element(peaks.begin(), peaks.end()) / mean_peak;
   }
