--- a/src/lab/cli/commands.cpp
+++ b/src/lab/cli/commands.cpp
@@ -19,6 +19,7 @@
 
 using ordered = nlohmann::ordered_json;
 
+// Options of the sub-commands that simulate runs in virtual time.
 struct RunOptions {
   std::string scenario, out;
   std::vector<std::string> set;
@@ -29,38 +30,41 @@
 
 void add_run_options(CLI::App& command, RunOptions& o) {
   command.add_option("scenario", o.scenario, "scenario file")->required();
-  command.add_option("--seeds", o.seeds, "days to play, a seed each")
+  command.add_option("--seeds", o.seeds, "number of runs, with consecutive seeds")
       ->check(CLI::Range(1, 1000000));
   command.add_option("--first", o.first, "first seed");
-  command.add_option("--jobs", o.jobs, "days at a time; does not change the result")
+  command.add_option("--jobs", o.jobs, "runs in parallel; does not change the results")
       ->check(CLI::Range(1, 1024));
-  command.add_option("--set", o.set,
-                     "set a field first, such as clients.load=0.9 (may be repeated)");
+  command.add_option(
+      "--set", o.set,
+      "override a field of the scenario, such as clients.load=0.9 (may be repeated)");
   command.add_flag("--json", o.json, "print JSON");
 }
 
-ordered results_of(const Scenario& scenario, const std::vector<DayResult>& days, bool full) {
+// The results of `runs` as JSON; `full` adds the figures by second and host.
+ordered to_results(const Scenario& scenario, const std::vector<DayResult>& runs, bool full) {
   ordered out{{"scenario", scenario.name}, {"days", ordered::array()}};
-  for (const DayResult& day : days) {
-    out["days"].push_back(to_json(day, full));
+  for (const DayResult& run : runs) {
+    out["days"].push_back(to_json(run, full));
   }
   return out;
 }
 
-std::string broken_rules(const DayResult& day) {
+// The violated invariants with their counts, "-" if there are none.
+std::string violations_text(const DayResult& run) {
   std::string text;
   for (std::size_t i = 0; i < kRules; ++i) {
-    if (day.breaches[i] > 0) {
+    if (run.breaches[i] > 0) {
       text += (text.empty() ? "" : ", ") + std::string(name_of(static_cast<Rule>(i))) + " x" +
-              std::to_string(day.breaches[i]);
+              std::to_string(run.breaches[i]);
     }
   }
   return text.empty() ? "-" : text;
 }
 
-std::vector<DayResult> play(const Scenario& scenario, const RunOptions& o,
-                            const std::string& what) {
-  ProgressBar bar(what);
+std::vector<DayResult> simulate(const Scenario& scenario, const RunOptions& o,
+                                const std::string& label) {
+  ProgressBar bar(label);
   return simulate_runs(scenario, o.first, o.seeds, o.jobs, make_balancer, bar.callback());
 }
 
@@ -93,9 +97,10 @@
   }
 }
 
-// Results of another build: its own `run --json`. The program is started without a shell's help in
-// its words.
-ordered results_from(const std::string& source, const RunOptions& o,
+// Results of `source`: the contents of a .json file, else the output of `run --json` of that
+// gateway-lab executable, which popen() starts in a shell; every argument is quoted, so that the
+// shell does not interpret it. Throws BadInput if there are no results.
+ordered load_results(const std::string& source, const RunOptions& o,
                      const std::vector<std::string>& set) {
   std::ifstream file(source);
   if (!file) {
@@ -104,16 +109,16 @@
   if (source.size() > 5 && source.ends_with(".json")) {
     ordered parsed = ordered::parse(file, nullptr, false);
     if (parsed.is_discarded()) {
-      throw BadInput(source + ": is not JSON");
+      throw BadInput(source + ": is not valid JSON");
     }
     return parsed;
   }
   if (o.scenario.empty()) {
-    throw BadInput(source + ": a program needs --scenario to play");
+    throw BadInput(source + ": is not a .json file; an executable needs --scenario");
   }
-  const auto quoted = [](const std::string& word) {
+  const auto quoted = [](const std::string& argument) {
     std::string text = "'";
-    for (char c : word) {
+    for (char c : argument) {
       text += c == '\'' ? std::string("'\\''") : std::string(1, c);
     }
     return text + "'";
@@ -129,24 +134,26 @@
     throw BadInput(source + ": cannot be started");
   }
   std::string text;
-  char part[65536];
-  while (const std::size_t n = std::fread(part, 1, sizeof part, pipe)) {
-    text.append(part, n);
+  char buffer[65536];
+  while (const std::size_t n = std::fread(buffer, 1, sizeof buffer, pipe)) {
+    text.append(buffer, n);
   }
   pclose(pipe);
   ordered parsed = ordered::parse(text, nullptr, false);
   if (parsed.is_discarded()) {
-    throw BadInput(source + ": gave no results (does it know `run --json`?)");
+    throw BadInput(source +
+                   ": printed no valid JSON; expected an executable that supports `run --json`");
   }
   return parsed;
 }
 
 }  // namespace
 
-void add_day_choice(CLI::App& command, DayChoice& choice) {
-  command.add_option("scenario", choice.scenario, "scenario file")->required();
-  command.add_option("--seed", choice.seed, "seed of the day");
-  command.add_option("--set", choice.set, "set a field first, such as clients.load=0.9");
+void add_run_selection(CLI::App& command, RunSelection& selection) {
+  command.add_option("scenario", selection.scenario, "scenario file")->required();
+  command.add_option("--seed", selection.seed, "seed of the run");
+  command.add_option("--set", selection.set,
+                     "override a field of the scenario, such as clients.load=0.9");
 }
 
 void write_file(const std::string& path, const std::string& text) {
@@ -158,27 +165,28 @@
   }
 }
 
-void print_days(const std::vector<DayResult>& days) {
+void print_runs(const std::vector<DayResult>& runs) {
   std::printf("%8s %8s %8s %8s %8s %8s  %s\n", "seed", "service", "in time", "window", "class",
-              "wasted", "rules broken");
+              "wasted", "violations");
   double service = 0;
   double in_time = 0;
   double window = 0;
-  double cls = 0;
+  double worst_class = 0;
   double wasted = 0;
-  for (const DayResult& d : days) {
+  for (const DayResult& run : runs) {
     std::printf("%8llu %8.3f %8.3f %8.3f %8.3f %8.3f  %s\n",
-                static_cast<unsigned long long>(d.seed), d.service(), d.in_time(), d.worst_window(),
-                d.worst_class(), d.wasted(), broken_rules(d).c_str());
-    const auto n = static_cast<double>(days.size());
-    service += d.service() / n, in_time += d.in_time() / n, window += d.worst_window() / n;
-    cls += d.worst_class() / n, wasted += d.wasted() / n;
+                static_cast<unsigned long long>(run.seed), run.service(), run.in_time(),
+                run.worst_window(), run.worst_class(), run.wasted(), violations_text(run).c_str());
+    const auto n = static_cast<double>(runs.size());
+    service += run.service() / n, in_time += run.in_time() / n, window += run.worst_window() / n;
+    worst_class += run.worst_class() / n, wasted += run.wasted() / n;
   }
-  std::printf("%8s %8.3f %8.3f %8.3f %8.3f %8.3f\n", "mean", service, in_time, window, cls, wasted);
-  for (const DayResult& d : days) {
-    for (const Breach& b : d.first_breaches) {
-      std::printf("RULE BROKEN, seed %llu, at %.3f s, gateway %u: %s: %s\n",
-                  static_cast<unsigned long long>(d.seed), to_seconds(b.at), b.gateway,
+  std::printf("%8s %8.3f %8.3f %8.3f %8.3f %8.3f\n", "mean", service, in_time, window, worst_class,
+              wasted);
+  for (const DayResult& run : runs) {
+    for (const Breach& b : run.first_breaches) {
+      std::printf("VIOLATION, seed %llu, at %.3f s, gateway %u: %s: %s\n",
+                  static_cast<unsigned long long>(run.seed), to_seconds(b.at), b.gateway,
                   std::string(name_of(b.rule)).c_str(), b.what.c_str());
     }
   }
@@ -192,14 +200,14 @@
     std::ifstream file(path);
     nlohmann::json json = nlohmann::json::parse(file, nullptr, false);
     if (json.is_discarded()) {
-      reading = load_scenario(path);  // says what is wrong
+      reading = load_scenario(path);  // reports the error and its position
     } else {
       try {
         for (const std::string& a : assignments) {
           set_field(json, a);
         }
-      } catch (const std::invalid_argument& bad) {
-        throw BadInput(path + ": --set " + bad.what());
+      } catch (const std::invalid_argument& error) {
+        throw BadInput(path + ": --set " + error.what());
       }
       reading = read_scenario(json);
     }
@@ -216,30 +224,30 @@
 }
 
 void add_check(CLI::App& app, int&) {
-  auto* command =
-      app.add_subcommand("check", "check scenario files; a line for each mistake, exit 2");
+  auto* command = app.add_subcommand(
+      "check", "validate scenario files; prints a line for each error, then exits with 2");
   auto files = std::make_shared<std::vector<std::string>>();
   command->add_option("files", *files, "scenario files")->required();
   command->footer("Example:\n  gateway-lab check scenarios/*.json");
   command->callback([files] {
-    std::string all;
+    std::string errors;
     for (const std::string& file : *files) {
       try {
         open_scenario(file);
-      } catch (const BadInput& bad) {
-        all += (all.empty() ? "" : "\n") + std::string(bad.what());
+      } catch (const BadInput& error) {
+        errors += (errors.empty() ? "" : "\n") + std::string(error.what());
       }
     }
-    if (!all.empty()) {
-      throw BadInput(all);
+    if (!errors.empty()) {
+      throw BadInput(errors);
     }
-    std::printf("%zu good\n", files->size());
+    std::printf("%zu files are valid\n", files->size());
   });
 }
 
 void add_fields(CLI::App& app, int&) {
   auto* command =
-      app.add_subcommand("fields", "the reference of all fields of a scenario, tab-separated");
+      app.add_subcommand("fields", "print all fields of scenarios and rig files, tab-separated");
   auto json = std::make_shared<bool>(false);
   command->add_flag("--json", *json, "print JSON");
   command->footer("Example:\n  gateway-lab fields | grep hosts.crowding");
@@ -271,30 +279,30 @@
 
 void add_run(CLI::App& app, int& result) {
   auto* command = app.add_subcommand(
-      "run", "play days of a scenario in virtual time; exit 1 if a rule was broken");
+      "run", "simulate runs of a scenario in virtual time; exits with 1 after a violation");
   auto o = std::make_shared<RunOptions>();
   add_run_options(*command, *o);
-  command->add_flag("--full", o->full, "with figures by second and host, for plots");
-  command->add_option("--out", o->out, "write the JSON to this file too");
+  command->add_flag("--full", o->full, "include figures by second and host, for plots");
+  command->add_option("--out", o->out, "also write the JSON to this file");
   command->footer(
       "Examples:\n  gateway-lab run scenarios/rough.json --seeds 20\n"
       "  gateway-lab run scenarios/quiet.json --seeds 5 --set clients.load=0.9 --json\n"
-      "  gateway-lab run scenarios/rough.json --first 7 --seeds 1 --full --out day7.json");
+      "  gateway-lab run scenarios/rough.json --first 7 --seeds 1 --full --out run7.json");
   command->callback([o, &result] {
     const Scenario scenario = open_scenario(o->scenario, o->set);
-    const std::vector<DayResult> days = play(scenario, *o, scenario.name);
-    const ordered results = results_of(scenario, days, o->full);
+    const std::vector<DayResult> runs = simulate(scenario, *o, scenario.name);
+    const ordered results = to_results(scenario, runs, o->full);
     if (!o->out.empty()) {
       write_file(o->out, results.dump(1) + "\n");
     }
     if (o->json) {
       std::cout << results.dump(1) << '\n';
     } else {
-      print_days(days);
+      print_runs(runs);
     }
-    for (const DayResult& d : days) {
-      if (!d.clean()) {
-        result = kNo;
+    for (const DayResult& run : runs) {
+      if (!run.clean()) {
+        result = kExitCheckFailed;
       }
     }
   });
@@ -302,7 +310,8 @@
 
 void add_compare(CLI::App& app, int&) {
   auto* command = app.add_subcommand(
-      "compare", "two builds or two settings, paired by seed, with a bootstrap interval");
+      "compare",
+      "compare two builds or settings, paired by seed, with bootstrap confidence intervals");
   struct Options : RunOptions {
     std::string a, b;
     std::vector<std::string> set_a, set_b;
@@ -311,13 +320,13 @@
   command
       ->add_option("A", o->a, "results of `run --out FILE.json`, or another build of this program")
       ->required();
-  command->add_option("B", o->b, "likewise")->required();
-  command->add_option("--scenario", o->scenario, "what programs play");
-  command->add_option("--seeds", o->seeds, "days to play")->check(CLI::Range(1, 1000000));
+  command->add_option("B", o->b, "results or build to compare with A")->required();
+  command->add_option("--scenario", o->scenario, "scenario file, required if A or B is a build");
+  command->add_option("--seeds", o->seeds, "number of runs")->check(CLI::Range(1, 1000000));
   command->add_option("--first", o->first, "first seed");
-  command->add_option("--jobs", o->jobs, "days at a time")->check(CLI::Range(1, 1024));
-  command->add_option("--set-a", o->set_a, "a field set for A");
-  command->add_option("--set-b", o->set_b, "a field set for B");
+  command->add_option("--jobs", o->jobs, "runs in parallel")->check(CLI::Range(1, 1024));
+  command->add_option("--set-a", o->set_a, "override a field of the scenario for A");
+  command->add_option("--set-b", o->set_b, "override a field of the scenario for B");
   command->add_flag("--json", o->json, "print JSON");
   command->footer(
       "Examples:\n  gateway-lab compare before.json after.json\n"
@@ -328,12 +337,12 @@
       "scenarios/rough.json "
       "--set-b limits.second_copies=false");
   command->callback([o] {
-    const ordered a = results_from(o->a, *o, o->set_a);
-    const ordered b = results_from(o->b, *o, o->set_b);
+    const ordered a = load_results(o->a, *o, o->set_a);
+    const ordered b = load_results(o->b, *o, o->set_b);
     try {
       print_differences(compare_results(a, b), o->json);
-    } catch (const std::invalid_argument& bad) {
-      throw BadInput(bad.what());
+    } catch (const std::invalid_argument& error) {
+      throw BadInput(error.what());
     }
   });
 }
@@ -341,7 +350,8 @@
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): too long
 void add_sweep(CLI::App& app, int& result) {
   auto* command = app.add_subcommand(
-      "sweep", "play a scenario over the values of one or two fields; tab-separated");
+      "sweep",
+      "simulate a scenario for each value of one or two fields; prints tab-separated rows");
   struct Options : RunOptions {
     std::vector<std::string> vary;
   };
@@ -362,7 +372,7 @@
     for (const std::string& vary : o->vary) {
       const auto equals = vary.find('=');
       if (equals == std::string::npos) {
-        throw BadInput("--vary " + vary + ": should be FIELD=V1,V2,...");
+        throw BadInput("--vary " + vary + ": expected FIELD=V1,V2,...");
       }
       axes.emplace_back();
       for (std::size_t at = equals + 1; at <= vary.size();) {
@@ -375,7 +385,7 @@
       axes.push_back({""});
     }
     std::vector<std::pair<std::vector<std::string>, Scenario>>
-        points;  // all are checked before the first is played
+        points;  // all are validated before the first is simulated
     for (const std::string& x : axes[0]) {
       for (const std::string& y : axes[1]) {
         std::vector<std::string> set = o->set;
@@ -395,21 +405,21 @@
       for (std::size_t i = o->set.size(); i < set.size(); ++i) {
         name += (name.empty() ? "" : " ") + set[i];
       }
-      const auto days = play(scenario, *o, name);
+      const auto runs = simulate(scenario, *o, name);
       double sums[5] = {};
       std::uint64_t breaches = 0;
-      for (const DayResult& d : days) {
-        const double values[5] = {d.service(), d.in_time(), d.worst_window(), d.worst_class(),
-                                  d.wasted()};
+      for (const DayResult& run : runs) {
+        const double values[5] = {run.service(), run.in_time(), run.worst_window(),
+                                  run.worst_class(), run.wasted()};
         for (int i = 0; i < 5; ++i) {
-          sums[i] += values[i] / static_cast<double>(days.size());
+          sums[i] += values[i] / static_cast<double>(runs.size());
         }
-        for (std::uint64_t n : d.breaches) {
+        for (std::uint64_t n : run.breaches) {
           breaches += n;
         }
       }
       if (breaches > 0) {
-        result = kNo;
+        result = kExitCheckFailed;
       }
       if (o->json) {
         out.push_back({{"point", name},
@@ -433,26 +443,26 @@
 
 void add_report(CLI::App& app, int&) {
   auto* command = app.add_subcommand(
-      "report", "one HTML file of a run, or of two set side by side; opens offline");
+      "report", "write an HTML report of one run, or of two side by side; needs no network");
   struct Options {
     std::vector<std::string> files;
     std::string out = "report.html";
   };
   auto o = std::make_shared<Options>();
-  command->add_option("results", o->files, "A.json, or A.json B.json, of `run --full --out`")
+  command->add_option("results", o->files, "one or two files of `run --full --out`")
       ->required()
       ->expected(1, 2);
-  command->add_option("--out", o->out, "the file to write");
+  command->add_option("--out", o->out, "HTML file to write");
   command->footer(
       "Example:\n  gateway-lab run scenarios/rough.json --full --out a.json\n"
       "  gateway-lab report a.json --out rough.html");
   command->callback([o] {
-    const ordered a = results_from(o->files[0], {}, {});
-    const ordered b = o->files.size() > 1 ? results_from(o->files[1], {}, {}) : ordered();
+    const ordered a = load_results(o->files[0], {}, {});
+    const ordered b = o->files.size() > 1 ? load_results(o->files[1], {}, {}) : ordered();
     try {
       write_file(o->out, render_report(a, o->files.size() > 1 ? &b : nullptr));
-    } catch (const std::invalid_argument& bad) {
-      throw BadInput(bad.what());
+    } catch (const std::invalid_argument& error) {
+      throw BadInput(error.what());
     }
     std::printf("%s\n", o->out.c_str());
   });
--- a/src/lab/cli/commands.hpp
+++ b/src/lab/cli/commands.hpp
@@ -1,6 +1,7 @@
-// The sub-commands of gateway-lab, one function each: it adds itself to the program and runs
-// when chosen. Exit codes: 0 yes, 1 no (a rule was broken, a mistake was found, a run was void), 2
-// bad usage or input.
+// The sub-commands of gateway-lab. Each add_* function registers one sub-command, which runs while
+// the command line is parsed. A sub-command that can fail its checks writes the exit code into
+// `result`, which must outlive the parsing. Exit codes: 0 success, 1 failed check (a violation, a
+// gateway that died, a missed bound, a void run) or error at run time, 2 bad usage or input.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -14,22 +15,25 @@
 
 namespace gateway::lab {
 
-inline constexpr int kYes = 0, kNo = 1, kBadInput = 2;
+inline constexpr int kExitSuccess = 0, kExitCheckFailed = 1, kExitBadInput = 2;
 
-struct BadInput : std::runtime_error {  // one line for each mistake
+// Input that a sub-command cannot use (exit code 2). The message has one line for each error.
+struct BadInput : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-// `file` with assignments of setField carried out. Throws BadInput: "FILE: FIELD: MISTAKE", a line
-// for each.
+// Reads `file`, applies `assignments` in the form of set_field() and validates the result. Throws
+// BadInput with a line "FILE: FIELD: ERROR" for each error.
 Scenario open_scenario(const std::string& file, const std::vector<std::string>& assignments = {});
 
-struct DayChoice {  // which day a command is about
+// The scenario, field assignments and seed that define a run.
+struct RunSelection {
   std::string scenario;
-  std::vector<std::string> set;  // assignments
+  std::vector<std::string> set;  // in the form of set_field()
   std::uint64_t seed = 1;
 };
-void add_day_choice(CLI::App& command, DayChoice& choice);  // its options: scenario, --seed, --set
+// Adds the options scenario, --seed and --set. `selection` must outlive the parsing.
+void add_run_selection(CLI::App& command, RunSelection& selection);
 
 void add_check(CLI::App& app, int& result);
 void add_fields(CLI::App& app, int& result);
@@ -45,8 +49,11 @@
 void add_trace(CLI::App& app, int& result);
 void add_overhead(CLI::App& app, int& result);
 
-// What commands share.
-void write_file(const std::string& path, const std::string& text);  // throws BadInput
-void print_days(const std::vector<DayResult>& days);  // a table; broken rules with their seeds
+// Shared by the sub-commands.
+
+// Replaces the contents of `path`. Throws BadInput if it cannot be written.
+void write_file(const std::string& path, const std::string& text);
+// Prints a row for each run, the means, and the first violations of each run with its seed.
+void print_runs(const std::vector<DayResult>& runs);
 
 }  // namespace gateway::lab
--- a/src/lab/cli/commands_load.cpp
+++ b/src/lab/cli/commands_load.cpp
@@ -1,4 +1,4 @@
-// The sub-commands that send load of their own: load, trace, overhead.
+// The sub-commands around the load generator: load, trace and overhead.
 #include <boost/asio/io_context.hpp>
 #include <charconv>
 #include <cstdio>
@@ -21,7 +21,8 @@
 using boost::asio::ip::tcp;
 using ordered = nlohmann::ordered_json;
 
-tcp::endpoint read_address(const std::string& text) {
+// Parses the ADDRESS:PORT of a loopback endpoint. Throws BadInput.
+tcp::endpoint parse_endpoint(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   boost::system::error_code ec;
   const auto address = boost::asio::ip::make_address(text.substr(0, colon), ec);
@@ -30,38 +31,39 @@
   const char* last = text.data() + text.size();
   if (ec || colon == std::string::npos || std::from_chars(first, last, port).ptr != last ||
       port == 0 || port > 65535) {
-    throw BadInput("'" + text + "' should be an address and port, such as 127.0.0.1:8080");
+    throw BadInput("'" + text + "' is no address and port; expected a form such as 127.0.0.1:8080");
   }
   if (!address.is_loopback()) {
-    throw BadInput(text + ": load is sent to loopback only");
+    throw BadInput(text + ": is no loopback address; load is sent to loopback only");
   }
   return {address, static_cast<std::uint16_t>(port)};
 }
 
-// "A,B,..." or "@FILE" with an address on each line.
-std::vector<tcp::endpoint> read_addresses(const std::string& text) {
+// Parses "A,B,...", or the lines of FILE for "@FILE". Throws BadInput.
+std::vector<tcp::endpoint> parse_endpoints(const std::string& text) {
   std::vector<tcp::endpoint> out;
   const bool in_file = text.rfind('@', 0) == 0;
   std::ifstream file;
-  std::istringstream listed(text);
+  std::istringstream list(text);
   if (in_file) {
     file.open(text.substr(1));
     if (!file) {
       throw BadInput(text.substr(1) + ": cannot be read");
     }
   }
-  std::istream& in = in_file ? static_cast<std::istream&>(file) : listed;
-  for (std::string one; std::getline(in, one, in_file ? '\n' : ',');) {
-    if (!one.empty()) {
-      out.push_back(read_address(one));
+  std::istream& in = in_file ? static_cast<std::istream&>(file) : list;
+  for (std::string entry; std::getline(in, entry, in_file ? '\n' : ',');) {
+    if (!entry.empty()) {
+      out.push_back(parse_endpoint(entry));
     }
   }
   if (out.empty()) {
-    throw BadInput(text + ": names no address");
+    throw BadInput(text + ": contains no address");
   }
   return out;
 }
 
+// Options of the sub-command load.
 struct LoadCommand {
   std::string to, stages, trace, cls = "status";
   double rate = 1000, seconds = 10, work_us = 0, deadline_ms = 2000;
@@ -69,7 +71,7 @@
   LoadOptions options;
 };
 
-std::unique_ptr<Schedule> schedule_of(const LoadCommand& o) {
+std::unique_ptr<Schedule> make_schedule(const LoadCommand& o) {
   try {
     if (!o.trace.empty()) {
       return replayed(o.trace);
@@ -77,16 +79,16 @@
     return staged(
         o.stages.empty() ? std::vector<Stage>{{o.rate, o.seconds}} : read_stages(o.stages),
         DueRequest{{}, o.cls, o.work_us, 0}, o.poisson, o.options.seed);
-  } catch (const std::invalid_argument& bad) {
-    throw BadInput(bad.what());
+  } catch (const std::invalid_argument& error) {
+    throw BadInput(error.what());
   }
 }
 
 ordered to_json(const Latency& latency) {
   ordered out;
-  for (const auto& [name, share] :
+  for (const auto& [name, fraction] :
        {std::pair{"p50", 0.5}, {"p90", 0.9}, {"p99", 0.99}, {"p999", 0.999}}) {
-    out[name] = percentile(latency, share);
+    out[name] = percentile(latency, fraction);
   }
   return out;
 }
@@ -113,22 +115,23 @@
       {"latency_from_sent_ms", to_json(r.from_sent)}};
 }
 
+// Prints a table, or with `tsv` a header line and a row of the figures of to_json().
 void print_load(const LoadResult& r, bool tsv) {
   const ordered figures = to_json(r);
   if (tsv) {
-    std::string head;
+    std::string header;
     std::string row;
     for (const auto& [name, value] : figures.items()) {
       if (value.is_object()) {
         for (const auto& [part, figure] : value.items()) {
-          head += name + "_" + part + "\t", row += figure.dump() + "\t";
+          header += name + "_" + part + "\t", row += figure.dump() + "\t";
         }
       } else {
-        head += name + "\t", row += value.dump() + "\t";
+        header += name + "\t", row += value.dump() + "\t";
       }
     }
-    head.back() = row.back() = '\n';
-    std::cout << head << row;
+    header.back() = row.back() = '\n';
+    std::cout << header << row;
     return;
   }
   const LoadCounts& c = r.counts;
@@ -138,9 +141,10 @@
   std::printf(
       "%llu due in %.1f s: %llu served, %llu refused, %llu failed, %llu broken, %llu unanswered\n",
       n(c.due), r.seconds, n(c.served), n(c.refused), n(c.failed), n(c.broken), n(c.unanswered));
-  std::printf("%.0f answers a second over %llu connections; %llu requests waited for one\n",
-              static_cast<double>(count_of(r.from_due)) / std::max(r.seconds, 1e-9), n(c.connected),
-              n(c.waited));
+  std::printf(
+      "%.0f responses a second over %llu connections; %llu requests waited for a connection\n",
+      static_cast<double>(count_of(r.from_due)) / std::max(r.seconds, 1e-9), n(c.connected),
+      n(c.waited));
   std::printf("%-18s %9s %9s %9s %9s\n", "latency, ms", "p50", "p90", "p99", "p99.9");
   for (const auto& [name, h] : {std::pair<const char*, const Latency*>{"from due", &r.from_due},
                                 {"from sent", &r.from_sent}}) {
@@ -149,9 +153,8 @@
   }
   if (!r.kept_schedule()) {
     std::printf(
-        "SCHEDULE NOT KEPT: %llu requests were sent over %.0f ms late, the worst %.0f ms; the load "
-        "tool "
-        "is too slow for this rate here\n",
+        "SCHEDULE NOT KEPT: %llu requests were sent over %.0f ms late, the latest by %.0f ms; the "
+        "load generator is too slow for this rate on this machine\n",
         n(c.late), to_seconds(LoadResult::kLate) * 1e3, to_seconds(r.worst_late) * 1e3);
   }
 }
@@ -162,48 +165,55 @@
 void add_load(CLI::App& app, int& result) {
   auto* command = app.add_subcommand(
       "load",
-      "send requests on a fixed schedule, latency from when each was due; exit 1 "
+      "send requests on a fixed schedule and measure latency from their due times; exits with 1 "
       "if the schedule was not kept");
   auto o = std::make_shared<LoadCommand>();
   command
-      ->add_option("to", o->to,
-                   "addresses on loopback, A,B,... in turn, or @FILE with one on each line")
+      ->add_option(
+          "to", o->to,
+          "loopback addresses A,B,..., used round robin, or @FILE with an address on each line")
       ->required();
   auto* rate =
       command->add_option("--rate", o->rate, "requests a second")->check(CLI::Range(0.001, 1e6));
   auto* seconds =
-      command->add_option("--seconds", o->seconds, "length")->check(CLI::Range(0.001, 86400.0));
-  auto* stages = command->add_option("--stages", o->stages, "steps instead: RATExSECONDS,...");
+      command->add_option("--seconds", o->seconds, "duration")->check(CLI::Range(0.001, 86400.0));
+  auto* stages =
+      command->add_option("--stages", o->stages, "stages of different rates: RATExSECONDS,...");
   auto* poisson =
-      command->add_flag("--poisson", o->poisson, "at random times of that rate, not evenly spaced");
+      command->add_flag("--poisson", o->poisson, "send as a Poisson process, not evenly spaced");
   auto* trace = command->add_option("--trace", o->trace,
-                                    "replay a file of seconds, class, work in us and key");
+                                    "replay a trace file: seconds, class, work in us, key");
   stages->excludes(rate)->excludes(seconds);
   trace->excludes(stages)->excludes(rate)->excludes(seconds)->excludes(poisson);
-  command->add_option("--connections", o->options.connections, "open at a time, to each address")
+  command
+      ->add_option("--connections", o->options.connections,
+                   "maximum open at once, for each address")
       ->check(CLI::Range(1, 60000));
-  command->add_option("--fresh", o->options.fresh, "share of requests with a new connection")
+  command->add_option("--fresh", o->options.fresh, "fraction of requests sent on a new connection")
       ->check(CLI::Range(0.0, 1.0));
-  command->add_option("--class", o->cls, "class of the requests, and their path");
-  command->add_option("--work-us", o->work_us, "work that emulated hosts do for each, microseconds")
+  command->add_option("--class", o->cls, "class of the requests, also used as their path");
+  command
+      ->add_option("--work-us", o->work_us,
+                   "work of an emulated host for each request, microseconds")
       ->check(CLI::Range(0.0, 1e9));
-  command->add_option("--deadline-ms", o->deadline_ms, "told in X-Deadline-Ms")
+  command->add_option("--deadline-ms", o->deadline_ms, "deadline sent in X-Deadline-Ms")
       ->check(CLI::Range(1.0, 1e6));
   command->add_flag("--post", o->options.post, "POST with a small body, not GET");
-  command->add_option("--seed", o->options.seed, "of random times");
+  command->add_option("--seed", o->options.seed, "seed of the Poisson process and of --fresh");
   auto* json = command->add_flag("--json", o->json, "print JSON");
-  command->add_flag("--tsv", o->tsv, "print a head and a row, set apart by tabs")->excludes(json);
+  command->add_flag("--tsv", o->tsv, "print a header line and a row, separated by tabs")
+      ->excludes(json);
   command->footer(
-      "It keeps one core busy while the next request is less than 2 ms away.\n"
+      "Keeps one core busy while the next request is due within 2 ms.\n"
       "Examples:\n  gateway-lab load 127.0.0.1:8080 --rate 20000 --poisson\n"
       "  gateway-lab load 127.0.0.1:8080 --stages 1000x5,8000x2,1000x5 --class seal --post\n"
-      "  gateway-lab trace scenarios/rough.json --out day.tsv && gateway-lab load "
+      "  gateway-lab trace scenarios/rough.json --out run.tsv && gateway-lab load "
       "127.0.0.1:8080 "
-      "--trace day.tsv");
+      "--trace run.tsv");
   command->callback([o, &result] {
-    o->options.to = read_addresses(o->to);
+    o->options.to = parse_endpoints(o->to);
     o->options.deadline = from_millis(o->deadline_ms);
-    const std::unique_ptr<Schedule> schedule = schedule_of(*o);
+    const std::unique_ptr<Schedule> schedule = make_schedule(*o);
     heed_interrupts();
     o->options.stopped = interrupted;
     LoadCounts last;
@@ -229,27 +239,28 @@
     } else {
       print_load(r, o->tsv);
     }
-    result = r.kept_schedule() ? kYes : kNo;
+    result = r.kept_schedule() ? kExitSuccess : kExitCheckFailed;
   });
 }
 
 void add_trace(CLI::App& app, int&) {
   auto* command =
-      app.add_subcommand("trace", "write a day's first tries as a trace that load can replay");
-  struct Options : DayChoice {
+      app.add_subcommand("trace", "write the first attempts of a run as a trace for load --trace");
+  struct Options : RunSelection {
     std::string out;
   };
   auto o = std::make_shared<Options>();
-  add_day_choice(*command, *o);
-  command->add_option("--out", o->out, "file to write; else standard output");
-  command->footer("Example:\n  gateway-lab trace scenarios/rough.json --seed 3 --out day.tsv");
+  add_run_selection(*command, *o);
+  command->add_option("--out", o->out, "file to write; standard output if not given");
+  command->footer("Example:\n  gateway-lab trace scenarios/rough.json --seed 3 --out run.tsv");
   command->callback([o] {
     const Scenario scenario = open_scenario(o->scenario, o->set);
     std::ostringstream text;
     text << "# seconds\tclass\twork in us\tkey; " << scenario.name << ", seed " << o->seed << '\n';
     Traffic traffic(scenario, o->seed, draw_topology(scenario, o->seed).request_rate, Time{});
-    for (Arrival t; traffic.next(t);) {
-      write_trace_line(text, {t.at, scenario.classes[t.cls].name, t.work * 1e6, t.key});
+    for (Arrival arrival; traffic.next(arrival);) {
+      write_trace_line(
+          text, {arrival.at, scenario.classes[arrival.cls].name, arrival.work * 1e6, arrival.key});
     }
     if (o->out.empty()) {
       std::cout << text.str();
@@ -263,8 +274,8 @@
 void add_overhead(CLI::App& app, int& result) {
   auto* command = app.add_subcommand(
       "overhead",
-      "what a gateway costs: the same load straight to emulated hosts and through "
-      "it; exit 1 if a figure is not sound");
+      "measure the overhead of a gateway: the same load sent directly to emulated hosts and "
+      "through the gateway; exits with 1 if a measurement is invalid");
   struct Options {
     std::string scenario = "scenarios/bare.json", gateway = beside_this_program("gateway");
     std::vector<unsigned> hosts{10, 100, 1000};
@@ -275,20 +286,22 @@
     bool json = false;
   };
   auto o = std::make_shared<Options>();
-  command->add_option("--scenario", o->scenario, "scenario file; its first class is asked for");
+  command->add_option("--scenario", o->scenario, "scenario file; requests have its first class");
   command->add_option("--hosts", o->hosts, "fleet sizes, N,N,...")
       ->delimiter(',')
       ->check(CLI::Range(1, 5000));
   command->add_option("--rate", o->rate, "requests a second")->check(CLI::Range(1.0, 1e6));
-  command->add_option("--seconds", o->seconds, "length of each measurement")
+  command->add_option("--seconds", o->seconds, "duration of each measurement")
       ->check(CLI::Range(0.1, 3600.0));
-  command->add_option("--connections", o->connections, "of clients to the gateway")
+  command->add_option("--connections", o->connections, "maximum open from clients to the gateway")
       ->check(CLI::Range(1, 60000));
-  command->add_option("--repeat", o->repeat, "measurements of each size, the sizes in turn")
+  command
+      ->add_option("--repeat", o->repeat,
+                   "measurements of each fleet size; each round measures every size once")
       ->check(CLI::Range(1, 1000));
-  command->add_option("--gateway", o->gateway, "the gateway's program");
-  command->add_option("--set", o->set, "set a field first");
-  command->add_option("--seed", o->seed, "seed");
+  command->add_option("--gateway", o->gateway, "the gateway executable");
+  command->add_option("--set", o->set, "override a field of the scenario");
+  command->add_option("--seed", o->seed, "seed of the fleet and the load");
   command->add_flag("--json", o->json, "print JSON");
   command->footer("Example:\n  gateway-lab overhead --hosts 10,1000 --rate 10000 --repeat 3");
   command->callback([o, &result] {
@@ -297,13 +310,13 @@
     ordered rows = ordered::array();
     if (!o->json) {
       std::printf("%6s %9s | %8s %8s | %8s %8s | %12s   %s\n", "hosts", "a second", "p50", "p99",
-                  "p50", "p99", "gateway CPU", "sound");
+                  "p50", "p99", "gateway CPU", "valid");
     }
     if (!o->json) {
-      std::printf("%16s | %17s | %17s | %12s\n", "", "straight, ms", "through it, ms",
+      std::printf("%16s | %17s | %17s | %12s\n", "", "direct, ms", "through it, ms",
                   "us a request");
     }
-    for (unsigned n = 0; n < o->repeat && !interrupted(); ++n) {
+    for (unsigned round = 0; round < o->repeat && !interrupted(); ++round) {
       for (unsigned hosts : o->hosts) {
         std::vector<std::string> set = o->set;
         set.push_back("hosts.count=" + std::to_string(hosts));
@@ -319,22 +332,22 @@
         if (interrupted()) {
           break;
         }
-        if (!r.sound()) {
-          result = kNo;
+        if (!r.is_valid()) {
+          result = kExitCheckFailed;
         }
         if (o->json) {
           rows.push_back({{"hosts", r.hosts},
-                          {"straight", to_json(r.straight)},
+                          {"straight", to_json(r.direct)},
                           {"through", to_json(r.through)},
                           {"gateway_cpu_us_a_request", r.gateway_cpu_us},
                           {"emulator_late_ms", r.emulator_late_ms},
-                          {"sound", r.sound()}});
+                          {"sound", r.is_valid()}});
           continue;
         }
         std::printf("%6u %9.0f | %8.2f %8.2f | %8.2f %8.2f | %12.1f   %s\n", r.hosts, o->rate,
-                    percentile(r.straight.from_due, 0.5), percentile(r.straight.from_due, 0.99),
+                    percentile(r.direct.from_due, 0.5), percentile(r.direct.from_due, 0.99),
                     percentile(r.through.from_due, 0.5), percentile(r.through.from_due, 0.99),
-                    r.gateway_cpu_us, r.sound() ? "yes" : "NO");
+                    r.gateway_cpu_us, r.is_valid() ? "yes" : "NO");
         std::fflush(stdout);
       }
     }
--- a/src/lab/cli/main.cpp
+++ b/src/lab/cli/main.cpp
@@ -1,4 +1,4 @@
-// gateway-lab: the laboratory as a program.
+// gateway-lab: the command line of the laboratory.
 #include <exception>
 #include <iostream>
 
@@ -8,15 +8,17 @@
 int main(int argc, char** argv) {
   using namespace gateway::lab;
   CLI::App app(
-      "Plays a fleet of gateways, hosts and clients, checks the rules, and shows what a change "
-      "does.",
+      "Runs a fleet of gateways, hosts and clients, checks invariants, and measures the effect of "
+      "a "
+      "change.",
       "gateway-lab");
   app.require_subcommand(1);
   app.footer(
-      "Exit codes: 0 yes; 1 no (a rule was broken, a run was void); 2 bad usage or input.\n"
+      "Exit codes: 0 success; 1 failed check (a violation, a missed bound, a void run) or error at "
+      "run time; 2 bad usage or input.\n"
       "Examples:\n  gateway-lab demo\n  gateway-lab run scenarios/rough.json --seeds 20\n  "
       "gateway-lab COMMAND --help");
-  int result = kYes;
+  int result = kExitSuccess;
   add_run(app, result);
   add_compare(app, result);
   add_sweep(app, result);
@@ -34,15 +36,15 @@
     app.parse(argc, argv);
   } catch (const CLI::Success& help) {
     return app.exit(help);
-  } catch (const CLI::ParseError& bad) {
-    app.exit(bad);
-    return kBadInput;
-  } catch (const BadInput& bad) {
-    std::cerr << bad.what() << '\n';
-    return kBadInput;
-  } catch (const std::exception& bad) {
-    std::cerr << "gateway-lab: " << bad.what() << '\n';
-    return kNo;
+  } catch (const CLI::ParseError& error) {
+    app.exit(error);
+    return kExitBadInput;
+  } catch (const BadInput& error) {
+    std::cerr << error.what() << '\n';
+    return kExitBadInput;
+  } catch (const std::exception& error) {
+    std::cerr << "gateway-lab: " << error.what() << '\n';
+    return kExitCheckFailed;
   }
   return result;
 }
--- a/src/lab/cli/progress_bar.cpp
+++ b/src/lab/cli/progress_bar.cpp
@@ -7,26 +7,26 @@
 
 namespace gateway::lab {
 
-ProgressBar::ProgressBar(std::string what)
-    : what_(std::move(what)), terminal_(isatty(STDERR_FILENO) != 0) {}
+ProgressBar::ProgressBar(std::string label)
+    : label_(std::move(label)), is_terminal_(isatty(STDERR_FILENO) != 0) {}
 
 ProgressBar::~ProgressBar() {
-  if (terminal_) {
+  if (is_terminal_) {
     std::fprintf(stderr, "\r\033[K");
   }
 }
 
 Progress ProgressBar::callback() {
-  if (!terminal_) {
+  if (!is_terminal_) {
     return {};
   }
-  return [this](double share) {
+  return [this](double fraction) {
     constexpr int kWidth = 40;
-    const int full = static_cast<int>(share * kWidth);
-    std::fprintf(stderr, "\r%s [%s%s] %3d %%", what_.c_str(),
-                 std::string(static_cast<std::size_t>(full), '#').c_str(),
-                 std::string(static_cast<std::size_t>(kWidth - full), ' ').c_str(),
-                 static_cast<int>(share * 100));
+    const int filled = static_cast<int>(fraction * kWidth);
+    std::fprintf(stderr, "\r%s [%s%s] %3d %%", label_.c_str(),
+                 std::string(static_cast<std::size_t>(filled), '#').c_str(),
+                 std::string(static_cast<std::size_t>(kWidth - filled), ' ').c_str(),
+                 static_cast<int>(fraction * 100));
     std::fflush(stderr);
   };
 }
--- a/src/lab/load/load.cpp
+++ b/src/lab/load/load.cpp
@@ -23,51 +23,57 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-// an event loop's wait is no finer than 1 ms
-constexpr Duration kSpin = std::chrono::milliseconds(2);
-constexpr Duration kNap = std::chrono::milliseconds(1);
-constexpr unsigned kAtOnce = 64;  // sent before answers are looked at again
+// A wait of the event loop has a resolution of 1 ms, so within kSpinTime of the next due time the
+// generator polls instead of waiting.
+constexpr Duration kSpinTime = std::chrono::milliseconds(2);
+constexpr Duration kWaitTime = std::chrono::milliseconds(1);
+constexpr unsigned kMaxBurst = 64;  // requests sent before responses are read again
 
-double thread_cpu() {
-  rusage use{};
-  ::getrusage(RUSAGE_THREAD, &use);
+// CPU time of the calling thread, in seconds.
+double thread_cpu_seconds() {
+  rusage usage{};
+  ::getrusage(RUSAGE_THREAD, &usage);
   const auto seconds = [](const timeval& t) {
     return static_cast<double>(t.tv_sec) + static_cast<double>(t.tv_usec) / 1e6;
   };
-  return seconds(use.ru_utime) + seconds(use.ru_stime);
+  return seconds(usage.ru_utime) + seconds(usage.ru_stime);
 }
 
-struct Pending {
+struct PendingRequest {
   DueRequest request;
-  std::uint64_t number = 0;
-  bool fresh = false;
+  std::uint64_t number = 0;  // in order of due time, from 1
+  bool fresh = false;        // is sent on a new connection
 };
 
-// One connection to one address. A read is always under way, so that the other side's closing shows
-// at once.
-class Line : public std::enable_shared_from_this<Line> {
+// A connection to one target, with at most one request in flight. Once connected, a read is always
+// pending, so that a close by the server is detected at once.
+class Connection : public std::enable_shared_from_this<Connection> {
  public:
   struct Owner {
     virtual ~Owner() = default;
-    virtual void answered(const std::shared_ptr<Line>& line, int status, bool keep) = 0;
-    virtual void ended(const std::shared_ptr<Line>& line) = 0;  // broken, or closed while idle
+    // A response was read; the connection can be reused if `keep_alive`.
+    virtual void on_response(const std::shared_ptr<Connection>& connection, int status,
+                             bool keep_alive) = 0;
+    // The connection failed, or the server closed it while idle.
+    virtual void on_closed(const std::shared_ptr<Connection>& connection) = 0;
   };
 
-  Line(asio::io_context& io, Owner& owner, std::size_t to)
-      : address(to), socket_(io), owner_(&owner) {}
+  Connection(asio::io_context& io, Owner& owner, std::size_t target_index)
+      : target(target_index), socket_(io), owner_(&owner) {}
 
-  void send(const tcp::endpoint& to, std::string text) {
+  // Sends the request `text`; connects to `endpoint` first if not yet connected.
+  void send(const tcp::endpoint& endpoint, std::string text) {
     busy = true;
     out_ = std::move(text);
     if (socket_.is_open()) {
       return write();
     }
-    socket_.async_connect(to, [self = shared_from_this()](error_code ec) {
+    socket_.async_connect(endpoint, [self = shared_from_this()](error_code ec) {
       if (!self->owner_) {
         return;
       }
       if (ec) {
-        return self->end();
+        return self->fail();
       }
       error_code ignored;
       self->socket_.set_option(tcp::no_delay(true), ignored);
@@ -76,24 +82,25 @@
       self->read();
     });
   }
-  void close() {  // tells nobody
+  // Closes without a call of the owner.
+  void close() {
     owner_ = nullptr;
     error_code ignored;
     socket_.close(ignored);
   }
 
-  const std::size_t address;
-  bool busy = false;
-  Pending pending;  // what it is busy with
-  Duration sent_at{};
-  std::uint64_t uses = 0;
+  const std::size_t target;  // index in LoadOptions::to
+  bool busy = false;         // a request is in flight
+  PendingRequest pending;    // the last request sent
+  Duration sent_at{};        // from the start of the load
+  std::uint64_t uses = 0;    // requests sent on this connection
 
  private:
   void write() {
     error_code ec;
     const std::size_t n = socket_.write_some(asio::buffer(out_), ec);
     if (ec && ec != asio::error::would_block) {
-      return;  // the read under way sees it too and tells
+      return;  // the pending read fails as well and reports it
     }
     if (n == out_.size()) {
       return;
@@ -109,22 +116,22 @@
                                return;
                              }
                              if (ec || !self->busy) {
-                               return self->end();
+                               return self->fail();
                              }
                              const auto& message = self->parser_->get();
                              const int status = static_cast<int>(message.result_int());
-                             const bool keep = message.keep_alive();
+                             const bool keep_alive = message.keep_alive();
                              self->busy = false;
-                             if (keep) {
+                             if (keep_alive) {
                                self->read();
                              }
-                             self->owner_->answered(self, status, keep);
+                             self->owner_->on_response(self, status, keep_alive);
                            });
   }
-  void end() {
+  void fail() {
     error_code ignored;
     socket_.close(ignored);
-    std::exchange(owner_, nullptr)->ended(shared_from_this());
+    std::exchange(owner_, nullptr)->on_closed(shared_from_this());
   }
 
   tcp::socket socket_;
@@ -134,29 +141,30 @@
   std::optional<beast_http::response_parser<beast_http::string_body>> parser_;
 };
 
-class Load : public Line::Owner {
+// One load: an event loop, its connections and the counts.
+class Load : public Connection::Owner {
  public:
   Load(Schedule& schedule, const LoadOptions& options)
       : schedule_(schedule),
         o_(options),
         random_(options.seed, "fresh"),
-        places_(options.to.size()) {}
+        targets_(options.to.size()) {}
 
   LoadResult run() {
     begin_ = std::chrono::steady_clock::now();
-    const double cpu = thread_cpu();
+    const double cpu_before = thread_cpu_seconds();
     DueRequest next;
     bool more = schedule_.next(next);
-    Duration second = std::chrono::seconds(1);
-    while (more || under_way_ > 0) {
+    Duration next_second = std::chrono::seconds(1);
+    while (more || in_flight_ > 0) {
       Duration t = now();
-      for (unsigned n = 0; more && next.at <= t && n < kAtOnce; ++n, t = now()) {
-        begin(next, t);
+      for (unsigned n = 0; more && next.at <= t && n < kMaxBurst; ++n, t = now()) {
+        enqueue(next, t);
         more = schedule_.next(next);
       }
-      give_up_old(t);
-      if (t >= second) {
-        second += std::chrono::seconds(1);
+      expire_sent(t);
+      if (t >= next_second) {
+        next_second += std::chrono::seconds(1);
         if (o_.each_second) {
           o_.each_second(result_.counts);
         }
@@ -166,19 +174,19 @@
         }
       }
       io_.restart();
-      const Duration gap = more ? next.at - t : kSpin + kNap;
-      if (gap > kSpin) {
-        io_.run_one_for(kNap);
+      const Duration gap = more ? next.at - t : kSpinTime + kWaitTime;
+      if (gap > kSpinTime) {
+        io_.run_one_for(kWaitTime);
       } else if (io_.poll() == 0 && gap > Duration{}) {
         ::sched_yield();
       }
     }
-    result_.counts.unanswered += under_way_;
+    result_.counts.unanswered += in_flight_;
     result_.seconds = to_seconds(now());
-    result_.cpu_seconds = thread_cpu() - cpu;
-    for (Place& place : places_) {
-      for (const auto& line : std::vector(place.lines)) {
-        line->close();
+    result_.cpu_seconds = thread_cpu_seconds() - cpu_before;
+    for (Target& target : targets_) {
+      for (const auto& connection : std::vector(target.connections)) {
+        connection->close();
       }
     }
     io_.restart();
@@ -186,113 +194,120 @@
     return result_;
   }
 
-  void answered(const std::shared_ptr<Line>& line, int status, bool keep) override {
+  void on_response(const std::shared_ptr<Connection>& connection, int status,
+                   bool keep_alive) override {
     LoadCounts& c = result_.counts;
     ++(status >= 200 && status <= 299   ? c.served
        : status == 429 || status == 503 ? c.refused
                                         : c.failed);
     const Duration t = now();
-    result_.from_due(to_seconds(t - line->pending.request.at) * 1e3);
-    result_.from_sent(to_seconds(t - line->sent_at) * 1e3);
-    --under_way_;
-    if (!keep || line->pending.fresh) {
-      line->close();
-      drop(line);
+    result_.from_due(to_seconds(t - connection->pending.request.at) * 1e3);
+    result_.from_sent(to_seconds(t - connection->sent_at) * 1e3);
+    --in_flight_;
+    if (!keep_alive || connection->pending.fresh) {
+      connection->close();
+      remove(connection);
     } else {
-      places_[line->address].idle.push_back(line);
+      targets_[connection->target].idle.push_back(connection);
     }
-    send_waiting(line->address);
+    send_queued(connection->target);
   }
-  void ended(const std::shared_ptr<Line>& line) override {
-    if (line->busy) {
+  void on_closed(const std::shared_ptr<Connection>& connection) override {
+    if (connection->busy) {
       ++result_.counts.broken;
-      --under_way_;
+      --in_flight_;
     }
-    drop(line);
-    send_waiting(line->address);
+    remove(connection);
+    send_queued(connection->target);
   }
 
  private:
-  struct Place {
-    std::vector<std::shared_ptr<Line>> lines, idle;
-    std::deque<Pending> waiting;
+  struct Target {
+    std::vector<std::shared_ptr<Connection>> connections, idle;  // all, and those without request
+    std::deque<PendingRequest> queue;  // requests that wait for a connection
   };
-  struct Sent {
+  struct SentRequest {
     Duration at;
-    std::weak_ptr<Line> line;
-    std::uint64_t use;
+    std::weak_ptr<Connection> connection;
+    std::uint64_t use;  // Connection::uses at the sending
   };
 
+  // Time since the start of the load.
   Duration now() const {
     return std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now() - begin_);
   }
 
-  void begin(const DueRequest& request, Duration t) {
-    const Duration behind = t - request.at;
+  void enqueue(const DueRequest& request, Duration t) {
+    const Duration delay = t - request.at;
     LoadCounts& c = result_.counts;
     ++c.due;
-    c.late += behind > LoadResult::kLate;
-    result_.worst_late = std::max(result_.worst_late, behind);
-    ++under_way_;
-    const std::size_t address = c.due % places_.size();
-    places_[address].waiting.push_back({request, c.due, random_.chance(o_.fresh)});
-    if (!send_waiting(address)) {
+    c.late += delay > LoadResult::kLate;
+    result_.worst_late = std::max(result_.worst_late, delay);
+    ++in_flight_;
+    const std::size_t target = c.due % targets_.size();
+    targets_[target].queue.push_back({request, c.due, random_.chance(o_.fresh)});
+    if (!send_queued(target)) {
       ++c.waited;
     }
   }
 
-  // Sends the first that waits for this address if a connection is free or may be made.
-  bool send_waiting(std::size_t address) {
-    Place& place = places_[address];
-    if (place.waiting.empty()) {
+  // Sends the first queued request of this target if a connection is idle or may be opened. Returns
+  // false if the request stays queued.
+  bool send_queued(std::size_t target_index) {
+    Target& target = targets_[target_index];
+    if (target.queue.empty()) {
       return true;
     }
-    std::shared_ptr<Line> line;
-    if (!place.idle.empty() && !place.waiting.front().fresh) {
-      line = std::move(place.idle.back());
-      place.idle.pop_back();
+    std::shared_ptr<Connection> connection;
+    if (!target.idle.empty() && !target.queue.front().fresh) {
+      connection = std::move(target.idle.back());
+      target.idle.pop_back();
     } else {
-      if (place.lines.size() >= o_.connections && !place.idle.empty()) {  // room for a new one
-        const auto old = place.idle.front();
+      if (target.connections.size() >= o_.connections &&
+          !target.idle.empty()) {  // makes room for a new connection
+        const auto old = target.idle.front();
         old->close();
-        drop(old);
+        remove(old);
       }
-      if (place.lines.size() >= o_.connections) {
+      if (target.connections.size() >= o_.connections) {
         return false;
       }
-      line = std::make_shared<Line>(io_, *this, address);
-      place.lines.push_back(line);
+      connection = std::make_shared<Connection>(io_, *this, target_index);
+      target.connections.push_back(connection);
       ++result_.counts.connected;
     }
-    line->pending = std::move(place.waiting.front());
-    place.waiting.pop_front();
-    line->sent_at = now();
-    sent_.push_back({line->sent_at, line, ++line->uses});
-    const DueRequest& r = line->pending.request;
-    line->send(o_.to[address], request_text({r.cls, r.work_us, r.key, line->pending.number,
-                                             o_.deadline.count() / 1000000, "", o_.post}));
+    connection->pending = std::move(target.queue.front());
+    target.queue.pop_front();
+    connection->sent_at = now();
+    sent_.push_back({connection->sent_at, connection, ++connection->uses});
+    const DueRequest& r = connection->pending.request;
+    connection->send(o_.to[target_index],
+                     request_text({r.cls, r.work_us, r.key, connection->pending.number,
+                                   o_.deadline.count() / 1000000, "", o_.post}));
     return true;
   }
 
-  void drop(const std::shared_ptr<Line>& line) {
-    Place& place = places_[line->address];
-    std::erase(place.lines, line);
-    std::erase(place.idle, line);
+  void remove(const std::shared_ptr<Connection>& connection) {
+    Target& target = targets_[connection->target];
+    std::erase(target.connections, connection);
+    std::erase(target.idle, connection);
   }
 
-  void give_up_old(Duration t) {
+  // Counts sent requests without a response within `patience` and closes their connections.
+  void expire_sent(Duration t) {
     while (!sent_.empty() && t - sent_.front().at > o_.patience) {
-      const auto line = sent_.front().line.lock();
-      const bool same = line && line->busy && line->uses == sent_.front().use;
+      const auto connection = sent_.front().connection.lock();
+      const bool in_flight =
+          connection && connection->busy && connection->uses == sent_.front().use;
       sent_.pop_front();
-      if (!same) {
+      if (!in_flight) {
         continue;
       }
       ++result_.counts.unanswered;
-      --under_way_;
-      line->close();
-      drop(line);
-      send_waiting(line->address);
+      --in_flight_;
+      connection->close();
+      remove(connection);
+      send_queued(connection->target);
     }
   }
 
@@ -301,9 +316,9 @@
   Random random_;
   asio::io_context io_{1};
   std::chrono::steady_clock::time_point begin_;
-  std::vector<Place> places_;
-  std::deque<Sent> sent_;  // in order of sending; patience is the same for all
-  std::uint64_t under_way_ = 0;
+  std::vector<Target> targets_;
+  std::deque<SentRequest> sent_;  // in order of sending, as the timeout of all is the same
+  std::uint64_t in_flight_ = 0;
   LoadResult result_;
 };
 
--- a/src/lab/load/load.hpp
+++ b/src/lab/load/load.hpp
@@ -1,4 +1,5 @@
-// Sends requests on a fixed schedule and takes their latency from when each was due.
+// An open-loop load generator: sends requests on a fixed schedule and measures each latency from
+// the due time of the request, so that a delay before the sending counts too.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -11,47 +12,52 @@
 
 namespace gateway::lab {
 
+// Counts since the start of the load.
 struct LoadCounts {
-  std::uint64_t due = 0;         // of the schedule so far
-  std::uint64_t served = 0;      // answered with 2xx
-  std::uint64_t refused = 0;     // 429 or 503
-  std::uint64_t failed = 0;      // any other answer
-  std::uint64_t broken = 0;      // no connection, or one that ended before the whole answer
-  std::uint64_t unanswered = 0;  // within `patience`, or when the load was stopped
-  std::uint64_t late = 0;        // the load itself came to it more than kLate after it was due
-  std::uint64_t waited = 0;      // no connection was free when it was due
-  std::uint64_t connected = 0;   // connections made
+  std::uint64_t due = 0;         // requests of the schedule that have become due
+  std::uint64_t served = 0;      // responses with a 2xx status
+  std::uint64_t refused = 0;     // responses with status 429 or 503
+  std::uint64_t failed = 0;      // responses with any other status
+  std::uint64_t broken = 0;      // not connected, or disconnected before the complete response
+  std::uint64_t unanswered = 0;  // no response within `patience`, or none before the load stopped
+  std::uint64_t late = 0;       // queued by the generator itself more than kLate after the due time
+  std::uint64_t waited = 0;     // not sent at once because no connection was available
+  std::uint64_t connected = 0;  // connections opened, including failed ones
 };
 
 struct LoadOptions {
-  std::vector<boost::asio::ip::tcp::endpoint> to;  // each in its turn; one at least
-  unsigned connections = 64;                       // open at a time, to each address
-  double fresh = 0;                                // share of requests that get a new connection
-  bool post = false;
-  Duration deadline = std::chrono::seconds(2);  // told in X-Deadline-Ms
-  Duration patience = std::chrono::seconds(5);  // from the sending
-  std::uint64_t seed = 1;
-  std::function<bool()> stopped;                       // asked now and then: true ends it early
-  std::function<void(const LoadCounts&)> each_second;  // progress
+  std::vector<boost::asio::ip::tcp::endpoint> to;  // targets, used round robin; not empty
+  unsigned connections = 64;                       // maximum open at once, for each target
+  double fresh = 0;   // fraction of requests sent on a new connection, 0 to 1
+  bool post = false;  // POST with a small body, else GET
+  Duration deadline = std::chrono::seconds(2);         // sent in X-Deadline-Ms
+  Duration patience = std::chrono::seconds(5);         // response timeout, from the sending
+  std::uint64_t seed = 1;                              // of the random choice by `fresh`
+  std::function<bool()> stopped;                       // polled once a second; true stops the load
+  std::function<void(const LoadCounts&)> each_second;  // called once a second
 };
 
 struct LoadResult {
+  // Delay beyond which a request counts as late.
   static constexpr Duration kLate = std::chrono::milliseconds(5);
-  static constexpr double kLateShare = 0.01;
+  // Largest fraction of late requests with which the schedule counts as kept.
+  static constexpr double kMaxLateFraction = 0.01;
 
   LoadCounts counts;
-  Latency from_due = make_latency(), from_sent = make_latency();  // of all that were answered; ms
-  Duration worst_late{};   // that the load itself was behind its schedule
-  double seconds = 0;      // first due to last answer
-  double cpu_seconds = 0;  // of the thread that sent
-  bool stopped = false;
+  // Latency in milliseconds of every request with a response.
+  Latency from_due = make_latency(), from_sent = make_latency();
+  Duration worst_late{};   // longest delay of the generator itself behind its schedule
+  double seconds = 0;      // duration of the load, until its last response or its stop
+  double cpu_seconds = 0;  // CPU time of the sending thread
+  bool stopped = false;    // LoadOptions::stopped ended the load early
 
   bool kept_schedule() const {
-    return static_cast<double>(counts.late) <= kLateShare * static_cast<double>(counts.due);
+    return static_cast<double>(counts.late) <= kMaxLateFraction * static_cast<double>(counts.due);
   }
 };
 
-// Runs in the caller's thread, which it keeps busy while the next request is less than 2 ms away.
+// Sends all requests of `schedule` and waits for their responses. Runs in the calling thread, which
+// it keeps busy while the next request is due within 2 ms.
 LoadResult send_load(Schedule& schedule, const LoadOptions& options);
 
 }  // namespace gateway::lab
--- a/src/lab/load/overhead.hpp
+++ b/src/lab/load/overhead.hpp
@@ -1,4 +1,5 @@
-// What the gateway costs: the same load straight to the hosts and through one gateway process.
+// Measures the overhead of a gateway: the same load sent directly to emulated hosts and through one
+// gateway process.
 #pragma once
 
 #include <functional>
@@ -11,24 +12,25 @@
 namespace gateway::lab {
 
 struct OverheadOptions {
-  std::string gateway, folder;  // executable; a folder for its files
-  double rate = 2000, seconds = 5;
-  unsigned connections = 64;  // of clients to the gateway
-  std::function<bool()> stopped;
+  std::string gateway, folder;      // the executable, and a folder for its files
+  double rate = 2000, seconds = 5;  // requests a second; duration of each of the two loads
+  unsigned connections = 64;        // maximum open connections from clients to the gateway
+  std::function<bool()> stopped;    // as LoadOptions::stopped
 };
 
 struct OverheadResult {
   unsigned hosts = 0;
-  LoadResult straight, through;
-  double gateway_cpu_us = 0;  // for each request
-  // longest that the emulator was behind; above 100 ms the figures mean nothing
+  LoadResult direct, through;  // sent to the hosts, and to the gateway
+  double gateway_cpu_us = 0;   // CPU time of the gateway for each request with a response
+  // Longest delay of the emulator behind its timers. Above 100 ms the figures are invalid.
   double emulator_late_ms = 0;
-  bool sound() const;  // nothing lost, both loads on schedule, the emulator in time
+  // All requests were served, both loads kept their schedule, and the emulator kept its limit.
+  bool is_valid() const;
 };
 
-// Hosts and discovery are served by a thread of their own. The scenario's traffic and troubles are
-// not played, only its first class is asked for. Throws std::runtime_error when the gateway does
-// not get ready.
+// Emulated hosts and discovery run in their own thread. Of the scenario's traffic only the first
+// class is requested; its faults are not injected. Throws std::runtime_error if the gateway does
+// not become ready in time.
 OverheadResult measure_overhead(const Scenario& scenario, std::uint64_t seed,
                                 const OverheadOptions& options);
 
--- a/src/lab/load/schedule.cpp
+++ b/src/lab/load/schedule.cpp
@@ -12,124 +12,126 @@
 namespace gateway::lab {
 namespace {
 
-constexpr double kMostRate = 1e6, kMostSeconds = 86400;
-constexpr std::size_t kMostMistakes = 10;
+constexpr double kMaxRate = 1e6, kMaxSeconds = 86400;  // requests a second; one day
+constexpr std::size_t kMaxErrors = 10;                 // reported for one trace
 
+// Parses the whole of `text` as a number. False: it is not one, or is out of range of T.
 template <class T>
-bool read_whole(std::string_view text, T& into, int base = 10) {
-  std::from_chars_result read{};
+bool parse_number(std::string_view text, T& value, int base = 10) {
+  std::from_chars_result result{};
   if constexpr (std::is_floating_point_v<T>) {
-    read = std::from_chars(text.data(), text.data() + text.size(), into);
+    result = std::from_chars(text.data(), text.data() + text.size(), value);
   } else {
-    read = std::from_chars(text.data(), text.data() + text.size(), into, base);
+    result = std::from_chars(text.data(), text.data() + text.size(), value, base);
   }
-  return read.ec == std::errc{} && read.ptr == text.data() + text.size();
+  return result.ec == std::errc{} && result.ptr == text.data() + text.size();
 }
 
-std::vector<std::string_view> split(std::string_view text, char mark) {
+std::vector<std::string_view> split(std::string_view text, char separator) {
   std::vector<std::string_view> parts;
   for (std::size_t at = 0; at <= text.size();) {
-    const std::size_t end = std::min(text.find(mark, at), text.size());
+    const std::size_t end = std::min(text.find(separator, at), text.size());
     parts.push_back(text.substr(at, end - at));
     at = end + 1;
   }
   return parts;
 }
 
-class Staged : public Schedule {
+class StagedSchedule : public Schedule {
  public:
-  Staged(std::vector<Stage> stages, DueRequest what, bool poisson, std::uint64_t seed)
+  StagedSchedule(std::vector<Stage> stages, DueRequest request, bool poisson, std::uint64_t seed)
       : stages_(std::move(stages)),
-        what_(std::move(what)),
+        request_(std::move(request)),
         poisson_(poisson),
         random_(seed, "load") {}
 
-  bool next(DueRequest& into) override {
-    // A step of the clock is a step in expected requests, which each stage turns into time at its
-    // own rate.
-    double ahead = poisson_ ? random_.exponential(1) : (begun_ ? 1 : 0);
-    begun_ = true;
-    for (;; ++stage_, in_stage_ = 0) {
-      if (stage_ >= stages_.size()) {
+  bool next(DueRequest& request) override {
+    // The distance to the next request is drawn in expected requests. Each stage converts it to
+    // time at its own rate, so that a distance may span several stages.
+    double distance = poisson_ ? random_.exponential(1) : (started_ ? 1 : 0);
+    started_ = true;
+    for (;; ++stage_index_, seconds_in_stage_ = 0) {
+      if (stage_index_ >= stages_.size()) {
         return false;
       }
-      const Stage& s = stages_[stage_];
-      const double left = (s.seconds - in_stage_) * s.rate;
-      if (ahead < left) {
-        in_stage_ += ahead / s.rate;
+      const Stage& stage = stages_[stage_index_];
+      const double left_in_stage = (stage.seconds - seconds_in_stage_) * stage.rate;
+      if (distance < left_in_stage) {
+        seconds_in_stage_ += distance / stage.rate;
         break;
       }
-      ahead -= left;
-      before_ += s.seconds;
+      distance -= left_in_stage;
+      seconds_before_stage_ += stage.seconds;
     }
-    into = what_;
-    into.at = from_seconds(before_ + in_stage_);
+    request = request_;
+    request.at = from_seconds(seconds_before_stage_ + seconds_in_stage_);
     return true;
   }
   Duration length() const override {
     double sum = 0;
-    for (const Stage& s : stages_) {
-      sum += s.seconds;
+    for (const Stage& stage : stages_) {
+      sum += stage.seconds;
     }
     return from_seconds(sum);
   }
 
  private:
   std::vector<Stage> stages_;
-  DueRequest what_;
-  bool poisson_, begun_ = false;
+  DueRequest request_;
+  bool poisson_, started_ = false;
   Random random_;
-  std::size_t stage_ = 0;
-  double in_stage_ = 0, before_ = 0;
+  std::size_t stage_index_ = 0;
+  // Time of the last request in its stage, and the duration of all earlier stages.
+  double seconds_in_stage_ = 0, seconds_before_stage_ = 0;
 };
 
-class Replayed : public Schedule {
+class TraceSchedule : public Schedule {
  public:
-  explicit Replayed(const std::string& file) : in_(file) {
+  explicit TraceSchedule(const std::string& file) : in_(file) {
     if (!in_) {
       throw std::invalid_argument(file + ": cannot be read");
     }
-    // Read once through for its mistakes and its end; then line by line, so that a long trace takes
-    // no memory.
-    std::string mistakes;
+    // A first pass finds all errors and the length. next() then reads line by line, so that memory
+    // does not grow with the trace.
+    std::string errors;
     std::string line;
-    std::size_t number = 0;
-    std::size_t found = 0;
+    std::size_t line_number = 0;
+    std::size_t error_count = 0;
     Duration last{};
-    while (std::getline(in_, line) && found < kMostMistakes) {
-      ++number;
-      if (passed_over(line)) {
+    while (std::getline(in_, line) && error_count < kMaxErrors) {
+      ++line_number;
+      if (is_ignored(line)) {
         continue;
       }
-      DueRequest r;
-      std::string wrong = read(line, r);
-      if (wrong.empty() && r.at < last) {
-        wrong = "is earlier than the line before; order the lines by time";
+      DueRequest request;
+      std::string error = parse(line, request);
+      if (error.empty() && request.at < last) {
+        error = "is earlier than the line before; order the lines by time";
       }
-      if (wrong.empty()) {
-        last = r.at, ++count_;
+      if (error.empty()) {
+        last = request.at, ++count_;
         continue;
       }
-      ++found;
-      mistakes +=
-          (mistakes.empty() ? "" : "\n") + file + ":" + std::to_string(number) + ": " + wrong;
+      ++error_count;
+      errors +=
+          (errors.empty() ? "" : "\n") + file + ":" + std::to_string(line_number) + ": " + error;
     }
-    if (found == 0 && count_ == 0) {
-      mistakes = file + ": holds no request";
+    if (error_count == 0 && count_ == 0) {
+      errors = file + ": holds no request";
     }
-    if (!mistakes.empty()) {
-      throw std::invalid_argument(mistakes);
+    if (!errors.empty()) {
+      throw std::invalid_argument(errors);
     }
     length_ = last;
     in_.clear();
     in_.seekg(0);
   }
 
-  bool next(DueRequest& into) override {
+  bool next(DueRequest& request) override {
     std::string line;
     while (std::getline(in_, line)) {
-      if (!passed_over(line)) {
-        return read(line, into).empty();
+      if (!is_ignored(line)) {
+        return parse(line, request).empty();
       }
     }
     return false;
@@ -137,26 +139,28 @@
   Duration length() const override { return length_; }
 
  private:
-  static bool passed_over(const std::string& line) { return line.empty() || line[0] == '#'; }
-  static std::string read(const std::string& line, DueRequest& into) {
-    const std::vector<std::string_view> parts = split(line, '\t');
-    if (parts.size() != 4) {
+  static bool is_ignored(const std::string& line) { return line.empty() || line[0] == '#'; }
+  // Returns the error, empty if the line is valid.
+  static std::string parse(const std::string& line, DueRequest& request) {
+    const std::vector<std::string_view> fields = split(line, '\t');
+    if (fields.size() != 4) {
       return "should be seconds, class, work in us and key, set apart by tabs";
     }
     double seconds = 0;
-    if (!read_whole(parts[0], seconds) || !(seconds >= 0 && seconds <= kMostSeconds)) {
-      return "'" + std::string(parts[0]) + "' should be seconds from 0 to 86400";
+    if (!parse_number(fields[0], seconds) || !(seconds >= 0 && seconds <= kMaxSeconds)) {
+      return "'" + std::string(fields[0]) + "' should be seconds from 0 to 86400";
     }
-    into.at = from_seconds(seconds);
-    into.cls = parts[1];
-    if (into.cls.empty() || into.cls.find_first_of(" /?\r") != std::string::npos) {
-      return "'" + into.cls + "' should be the name of a class";
+    request.at = from_seconds(seconds);
+    request.cls = fields[1];
+    if (request.cls.empty() || request.cls.find_first_of(" /?\r") != std::string::npos) {
+      return "'" + request.cls + "' should be the name of a class";
     }
-    if (!read_whole(parts[2], into.work_us) || !(into.work_us >= 0 && into.work_us <= 1e9)) {
-      return "'" + std::string(parts[2]) + "' should be microseconds of work from 0 to 1e9";
+    if (!parse_number(fields[2], request.work_us) ||
+        !(request.work_us >= 0 && request.work_us <= 1e9)) {
+      return "'" + std::string(fields[2]) + "' should be microseconds of work from 0 to 1e9";
     }
-    if (!read_whole(parts[3], into.key, 16)) {
-      return "'" + std::string(parts[3]) + "' should be a key in hexadecimal, 0 for none";
+    if (!parse_number(fields[3], request.key, 16)) {
+      return "'" + std::string(fields[3]) + "' should be a key in hexadecimal, 0 for none";
     }
     return "";
   }
@@ -171,33 +175,35 @@
 std::vector<Stage> read_stages(const std::string& text) {
   std::vector<Stage> stages;
   for (const std::string_view part : split(text, ',')) {
-    const std::size_t cross = part.find('x');
-    Stage s;
-    if (cross == std::string_view::npos || !read_whole(part.substr(0, cross), s.rate) ||
-        !read_whole(part.substr(cross + 1), s.seconds) || !(s.rate >= 0 && s.rate <= kMostRate) ||
-        !(s.seconds > 0 && s.seconds <= kMostSeconds)) {
+    const std::size_t separator_at = part.find('x');
+    Stage stage;
+    if (separator_at == std::string_view::npos ||
+        !parse_number(part.substr(0, separator_at), stage.rate) ||
+        !parse_number(part.substr(separator_at + 1), stage.seconds) ||
+        !(stage.rate >= 0 && stage.rate <= kMaxRate) ||
+        !(stage.seconds > 0 && stage.seconds <= kMaxSeconds)) {
       throw std::invalid_argument(
           "'" + std::string(part) +
           "' should be RATExSECONDS, such as 1000x5: 0 to 1e6 a second, up to 86400 s");
     }
-    stages.push_back(s);
+    stages.push_back(stage);
   }
   return stages;
 }
 
-std::unique_ptr<Schedule> staged(std::vector<Stage> stages, DueRequest what, bool poisson,
+std::unique_ptr<Schedule> staged(std::vector<Stage> stages, DueRequest request, bool poisson,
                                  std::uint64_t seed) {
-  return std::make_unique<Staged>(std::move(stages), std::move(what), poisson, seed);
+  return std::make_unique<StagedSchedule>(std::move(stages), std::move(request), poisson, seed);
 }
 
 std::unique_ptr<Schedule> replayed(const std::string& file) {
-  return std::make_unique<Replayed>(file);
+  return std::make_unique<TraceSchedule>(file);
 }
 
-void write_trace_line(std::ostream& out, const DueRequest& r) {
+void write_trace_line(std::ostream& out, const DueRequest& request) {
   char line[256];
-  std::snprintf(line, sizeof line, "%.6f\t%s\t%.0f\t%llx\n", to_seconds(r.at), r.cls.c_str(),
-                r.work_us, static_cast<unsigned long long>(r.key));
+  std::snprintf(line, sizeof line, "%.6f\t%s\t%.0f\t%llx\n", to_seconds(request.at),
+                request.cls.c_str(), request.work_us, static_cast<unsigned long long>(request.key));
   out << line;
 }
 
