--- a/src/lab/load/load.cpp
+++ b/src/lab/load/load.cpp
@@ -156,7 +156,7 @@
     DueRequest next;
     bool more = schedule_.next(next);
     Duration next_second = std::chrono::seconds(1);
-    while (more || in_flight_ > 0) {
+    while (more || unfinished_ > 0) {
       Duration t = now();
       for (unsigned n = 0; more && next.at <= t && n < kMaxBurst; ++n, t = now()) {
         enqueue(next, t);
@@ -181,7 +181,7 @@
         ::sched_yield();
       }
     }
-    result_.counts.unanswered += in_flight_;
+    result_.counts.unanswered += unfinished_;
     result_.seconds = to_seconds(now());
     result_.cpu_seconds = thread_cpu_seconds() - cpu_before;
     for (Target& target : targets_) {
@@ -203,7 +203,7 @@
     const Duration t = now();
     result_.from_due(to_seconds(t - connection->pending.request.at) * 1e3);
     result_.from_sent(to_seconds(t - connection->sent_at) * 1e3);
-    --in_flight_;
+    --unfinished_;
     if (!keep_alive || connection->pending.fresh) {
       connection->close();
       remove(connection);
@@ -215,7 +215,7 @@
   void on_closed(const std::shared_ptr<Connection>& connection) override {
     if (connection->busy) {
       ++result_.counts.broken;
-      --in_flight_;
+      --unfinished_;
     }
     remove(connection);
     send_queued(connection->target);
@@ -243,7 +243,7 @@
     ++c.due;
     c.late += delay > LoadResult::kLate;
     result_.worst_late = std::max(result_.worst_late, delay);
-    ++in_flight_;
+    ++unfinished_;
     const std::size_t target = c.due % targets_.size();
     targets_[target].queue.push_back({request, c.due, random_.chance(o_.fresh)});
     if (!send_queued(target)) {
@@ -304,7 +304,7 @@
         continue;
       }
       ++result_.counts.unanswered;
-      --in_flight_;
+      --unfinished_;
       connection->close();
       remove(connection);
       send_queued(connection->target);
@@ -318,7 +318,7 @@
   std::chrono::steady_clock::time_point begin_;
   std::vector<Target> targets_;
   std::deque<SentRequest> sent_;  // in order of sending, as the timeout of all is the same
-  std::uint64_t in_flight_ = 0;
+  std::uint64_t unfinished_ = 0;  // due requests, queued or sent, without a result
   LoadResult result_;
 };
 
--- a/src/lab/load/load.hpp
+++ b/src/lab/load/load.hpp
@@ -20,8 +20,8 @@
   std::uint64_t failed = 0;      // responses with any other status
   std::uint64_t broken = 0;      // not connected, or disconnected before the complete response
   std::uint64_t unanswered = 0;  // no response within `patience`, or none before the load stopped
-  std::uint64_t late = 0;       // queued by the generator itself more than kLate after the due time
-  std::uint64_t waited = 0;     // not sent at once because no connection was available
+  std::uint64_t late = 0;    // reached by the generator itself more than kLate after the due time
+  std::uint64_t waited = 0;  // not sent at once because no connection was available
   std::uint64_t connected = 0;  // connections opened, including failed ones
 };
 
