--- a/src/lab/cli/commands_load.cpp
+++ b/src/lab/cli/commands_load.cpp
@@ -214,7 +214,7 @@
     o->options.to = parse_endpoints(o->to);
     o->options.deadline = from_millis(o->deadline_ms);
     const std::unique_ptr<Schedule> schedule = make_schedule(*o);
-    heed_interrupts();
+    install_signal_handlers();
     o->options.stopped = interrupted;
     LoadCounts last;
     if (!o->json && !o->tsv) {
@@ -277,7 +277,7 @@
       "measure the overhead of a gateway: the same load sent directly to emulated hosts and "
       "through the gateway; exits with 1 if a measurement is invalid");
   struct Options {
-    std::string scenario = "scenarios/bare.json", gateway = beside_this_program("gateway");
+    std::string scenario = "scenarios/bare.json", gateway = path_beside_executable("gateway");
     std::vector<unsigned> hosts{10, 100, 1000};
     std::vector<std::string> set;
     double rate = 5000, seconds = 5;
@@ -305,8 +305,8 @@
   command->add_flag("--json", o->json, "print JSON");
   command->footer("Example:\n  gateway-lab overhead --hosts 10,1000 --rate 10000 --repeat 3");
   command->callback([o, &result] {
-    check_program(o->gateway);
-    heed_interrupts();
+    require_executable(o->gateway);
+    install_signal_handlers();
     ordered rows = ordered::array();
     if (!o->json) {
       std::printf("%6s %9s | %8s %8s | %8s %8s | %12s   %s\n", "hosts", "a second", "p50", "p99",
