--- a/src/lab/live/live_fleet.cpp
+++ b/src/lab/live/live_fleet.cpp
@@ -233,7 +233,7 @@
     std::vector<std::uint32_t> faults;
     std::set<std::shared_ptr<Connection>>
         connections;  // ordered by address, which no result depends on
-    Time next_step_at = kNever;
+    Time wake_at = kNever;
     Random fault_random;
   };
   struct PendingRequest {
@@ -485,17 +485,16 @@
     }
     const Time next = h.model.next_event();
     const Time now = clock.now();
-    if (next == kNever ||
-        (h.next_step_at != kNever && h.next_step_at <= next && h.next_step_at > now)) {
+    if (next == kNever || (h.wake_at != kNever && h.wake_at <= next && h.wake_at > now)) {
       return;
     }
-    h.next_step_at = next;
+    h.wake_at = next;
     clock.at(next, [this, number, next, weak = weak_from_this()] {
       const auto self = weak.lock();
-      if (!self || hosts[number].next_step_at != next) {
+      if (!self || hosts[number].wake_at != next) {
         return;
       }
-      hosts[number].next_step_at = kNever;
+      hosts[number].wake_at = kNever;
       hosts[number].model.advance(clock.now(), finished_jobs);
       deliver_finished_jobs(number);
     });
@@ -517,7 +516,7 @@
       c->reset();
     }
     h.model.stop(clock.now());
-    h.next_step_at = kNever;
+    h.wake_at = kNever;
     publish({number, EndpointState::removed, h.started_at});
   }
 
