--- a/src/lab/cli/commands.cpp
+++ b/src/lab/cli/commands.cpp
@@ -42,27 +42,27 @@
 }
 
 // The results of `runs` as JSON; `full` adds the figures by second and host.
-ordered to_results(const Scenario& scenario, const std::vector<DayResult>& runs, bool full) {
+ordered to_results(const Scenario& scenario, const std::vector<RunResult>& runs, bool full) {
   ordered out{{"scenario", scenario.name}, {"days", ordered::array()}};
-  for (const DayResult& run : runs) {
+  for (const RunResult& run : runs) {
     out["days"].push_back(to_json(run, full));
   }
   return out;
 }
 
 // The violated invariants with their counts, "-" if there are none.
-std::string violations_text(const DayResult& run) {
+std::string violations_text(const RunResult& run) {
   std::string text;
   for (std::size_t i = 0; i < kRules; ++i) {
-    if (run.breaches[i] > 0) {
+    if (run.violations[i] > 0) {
       text += (text.empty() ? "" : ", ") + std::string(name_of(static_cast<Rule>(i))) + " x" +
-              std::to_string(run.breaches[i]);
+              std::to_string(run.violations[i]);
     }
   }
   return text.empty() ? "-" : text;
 }
 
-std::vector<DayResult> simulate(const Scenario& scenario, const RunOptions& o,
+std::vector<RunResult> simulate(const Scenario& scenario, const RunOptions& o,
                                 const std::string& label) {
   ProgressBar bar(label);
   return simulate_runs(scenario, o.first, o.seeds, o.jobs, make_balancer, bar.callback());
@@ -165,7 +165,7 @@
   }
 }
 
-void print_runs(const std::vector<DayResult>& runs) {
+void print_runs(const std::vector<RunResult>& runs) {
   std::printf("%8s %8s %8s %8s %8s %8s  %s\n", "seed", "service", "in time", "window", "class",
               "wasted", "violations");
   double service = 0;
@@ -173,7 +173,7 @@
   double window = 0;
   double worst_class = 0;
   double wasted = 0;
-  for (const DayResult& run : runs) {
+  for (const RunResult& run : runs) {
     std::printf("%8llu %8.3f %8.3f %8.3f %8.3f %8.3f  %s\n",
                 static_cast<unsigned long long>(run.seed), run.service(), run.in_time(),
                 run.worst_window(), run.worst_class(), run.wasted(), violations_text(run).c_str());
@@ -183,8 +183,8 @@
   }
   std::printf("%8s %8.3f %8.3f %8.3f %8.3f %8.3f\n", "mean", service, in_time, window, worst_class,
               wasted);
-  for (const DayResult& run : runs) {
-    for (const Breach& b : run.first_breaches) {
+  for (const RunResult& run : runs) {
+    for (const Violation& b : run.first_violations) {
       std::printf("VIOLATION, seed %llu, at %.3f s, gateway %u: %s: %s\n",
                   static_cast<unsigned long long>(run.seed), to_seconds(b.at), b.gateway,
                   std::string(name_of(b.rule)).c_str(), b.what.c_str());
@@ -290,7 +290,7 @@
       "  gateway-lab run scenarios/rough.json --first 7 --seeds 1 --full --out run7.json");
   command->callback([o, &result] {
     const Scenario scenario = open_scenario(o->scenario, o->set);
-    const std::vector<DayResult> runs = simulate(scenario, *o, scenario.name);
+    const std::vector<RunResult> runs = simulate(scenario, *o, scenario.name);
     const ordered results = to_results(scenario, runs, o->full);
     if (!o->out.empty()) {
       write_file(o->out, results.dump(1) + "\n");
@@ -300,8 +300,8 @@
     } else {
       print_runs(runs);
     }
-    for (const DayResult& run : runs) {
-      if (!run.clean()) {
+    for (const RunResult& run : runs) {
+      if (!run.is_clean()) {
         result = kExitCheckFailed;
       }
     }
@@ -408,13 +408,13 @@
       const auto runs = simulate(scenario, *o, name);
       double sums[5] = {};
       std::uint64_t breaches = 0;
-      for (const DayResult& run : runs) {
+      for (const RunResult& run : runs) {
         const double values[5] = {run.service(), run.in_time(), run.worst_window(),
                                   run.worst_class(), run.wasted()};
         for (int i = 0; i < 5; ++i) {
           sums[i] += values[i] / static_cast<double>(runs.size());
         }
-        for (std::uint64_t n : run.breaches) {
+        for (std::uint64_t n : run.violations) {
           breaches += n;
         }
       }
--- a/src/lab/cli/commands.hpp
+++ b/src/lab/cli/commands.hpp
@@ -54,6 +54,6 @@
 // Replaces the contents of `path`. Throws BadInput if it cannot be written.
 void write_file(const std::string& path, const std::string& text);
 // Prints a row for each run, the means, and the first violations of each run with its seed.
-void print_runs(const std::vector<DayResult>& runs);
+void print_runs(const std::vector<RunResult>& runs);
 
 }  // namespace gateway::lab
--- a/src/lab/cli/commands_live.cpp
+++ b/src/lab/cli/commands_live.cpp
@@ -209,7 +209,7 @@
       std::printf("OUT OF BOUNDS: %s\n", bound.c_str());
     }
   }
-  return live.run.clean() && !live.is_void && live.gateways_died == 0 && missed.empty()
+  return live.run.is_clean() && !live.is_void && live.gateways_died == 0 && missed.empty()
              ? kExitSuccess
              : kExitCheckFailed;
 }
