--- a/src/lab/live/gateway_process.cpp
+++ b/src/lab/live/gateway_process.cpp
@@ -23,7 +23,9 @@
 using boost::asio::ip::tcp;
 using nlohmann::json;
 
-constexpr int kNice = 5;  // where cores are scarce the referee comes before those it judges
+// Gateways run at a lower priority than the laboratory: on a machine with few cores a delayed
+// laboratory would make the run void.
+constexpr int kGatewayNiceness = 5;
 
 }  // namespace
 
@@ -31,12 +33,12 @@
   return e.address().to_string() + ":" + std::to_string(e.port());
 }
 
-GatewayProcess::GatewayProcess(std::string program, Place place)
-    : program_(std::move(program)), place_(std::move(place)) {}
+GatewayProcess::GatewayProcess(std::string program, Config config)
+    : program_(std::move(program)), config_(std::move(config)) {}
 
-std::string GatewayProcess::not_ready() const {
-  return "gateway " + place_.name +
-         " was not ready; its log: " + (place_.folder / "log.txt").string();
+std::string GatewayProcess::not_ready_message() const {
+  return "gateway " + config_.name +
+         " was not ready; its log: " + (config_.folder / "log.txt").string();
 }
 
 GatewayProcess::~GatewayProcess() {
@@ -49,28 +51,28 @@
 
 // NOLINTNEXTLINE(readability-function-size): too long
 void GatewayProcess::start(const json& settings, const json& known, std::uint64_t seed) {
-  std::filesystem::create_directories(place_.folder / "tmp");
+  std::filesystem::create_directories(config_.folder / "tmp");
   char hex[20];
   std::snprintf(hex, sizeof hex, "%016llx", static_cast<unsigned long long>(seed));
-  const std::filesystem::path file = place_.folder / "config.json";
+  const std::filesystem::path file = config_.folder / "config.json";
   std::ofstream(file) << json{
-      {"name", place_.name},
-      {"listen", text_of(place_.listen)},
-      {"discovery", text_of(place_.discovery)},
-      {"admin_addr", text_of(place_.admin)},
+      {"name", config_.name},
+      {"listen", text_of(config_.listen)},
+      {"discovery", text_of(config_.discovery)},
+      {"admin_addr", text_of(config_.admin)},
       {"seed", hex},
       {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 4096}}},
       {"known", known},
       {"settings", settings}}.dump(1);
-  std::vector<std::string> variables{"GW_NAME=" + place_.name,
-                                     "GW_LISTEN=" + text_of(place_.listen),
-                                     "GW_DISCOVERY=" + text_of(place_.discovery),
-                                     "GW_ADMIN_ADDR=" + text_of(place_.admin),
+  std::vector<std::string> variables{"GW_NAME=" + config_.name,
+                                     "GW_LISTEN=" + text_of(config_.listen),
+                                     "GW_DISCOVERY=" + text_of(config_.discovery),
+                                     "GW_ADMIN_ADDR=" + text_of(config_.admin),
                                      "GW_CONFIG=" + file.string(),
-                                     "TMPDIR=" + (place_.folder / "tmp").string(),
+                                     "TMPDIR=" + (config_.folder / "tmp").string(),
                                      "PATH=/usr/bin:/bin"};
-  if (!place_.fleet.empty()) {
-    variables.push_back("GW_FLEET=" + place_.fleet.string());
+  if (!config_.fleet.empty()) {
+    variables.push_back("GW_FLEET=" + config_.fleet.string());
   }
   std::vector<char*> environment;
   environment.reserve(variables.size());
@@ -78,29 +80,29 @@
     environment.push_back(v.data());
   }
   environment.push_back(nullptr);
-  const std::string log = (place_.folder / "log.txt").string();
+  const std::string log = (config_.folder / "log.txt").string();
   char* arguments[] = {program_.data(), nullptr};
   const pid_t laboratory = ::getpid();
-  // vfork: hundreds are started within a second, and to copy the laboratory's page tables for each
-  // would make it late. The child makes only system calls until it is another program.
+  // vfork: hundreds of gateways are started within a second, and copying the laboratory's page
+  // tables for each would delay its own tasks. The child makes only system calls before execve.
   pid_ = ::vfork();
   if (pid_ < 0) {
-    throw std::runtime_error("no further process can be started");
+    throw std::runtime_error("cannot create a gateway process: vfork failed");
   }
   if (pid_ == 0) {
     const int fd = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
     if (fd >= 0) {
       ::dup2(fd, 1), ::dup2(fd, 2);
     }
-    ::close_range(3, ~0U, 0);  // Danger: it would hold the hosts' sockets open beyond their end
-    ::setpgid(0, 0);           // Ctrl-C reaches the laboratory, which stops the gateways itself
-    // Ended with the laboratory even when it is killed and cannot end its children itself; where it
-    // died before this line, at once.
+    ::close_range(3, ~0U, 0);  // inherited sockets of hosts would stay open after the hosts stop
+    ::setpgid(0, 0);           // Ctrl-C reaches only the laboratory, which stops the gateways
+    // Ends this process when the laboratory dies, even by SIGKILL. If the laboratory died before
+    // this call, no signal comes: getppid() detects that.
     ::prctl(PR_SET_PDEATHSIG, SIGKILL);
     if (::getppid() != laboratory) {
       ::_exit(126);
     }
-    ::setpriority(PRIO_PROCESS, 0, kNice);
+    ::setpriority(PRIO_PROCESS, 0, kGatewayNiceness);
     ::execve(program_.c_str(), arguments, environment.data());
     ::_exit(127);
   }
@@ -208,13 +210,13 @@
 }
 
 tcp::endpoint free_address() {
-  // The kernel may name a port twice once it is closed again; a rig of 20 gateways asks for 40 of
-  // them, so each is named once by this process.
-  static std::set<unsigned short> given;
+  // The kernel may choose the same port again once it is closed. A rig of 20 gateways needs 40
+  // ports, so this process returns each port only once, unless 100 attempts find no new one.
+  static std::set<unsigned short> used_ports;
   boost::asio::io_context io;
-  for (int tries = 0;; ++tries) {
+  for (int attempts = 0;; ++attempts) {
     tcp::acceptor acceptor(io, {boost::asio::ip::address_v4::loopback(), 0});
-    if (given.insert(acceptor.local_endpoint().port()).second || tries == 100) {
+    if (used_ports.insert(acceptor.local_endpoint().port()).second || attempts == 100) {
       return acceptor.local_endpoint();
     }
   }
--- a/src/lab/model/clients.cpp
+++ b/src/lab/model/clients.cpp
@@ -26,14 +26,14 @@
   operation.timeout_share = timeout_share_;
   operation.backoff = backoff_;
   operation.value = c.priority_weight * arrival.work;  // the weight counts per unit of work
-  metrics_.wish(arrival.cls, operation.value, arrival.at - start_);
+  metrics_.add_operation(arrival.cls, operation.value, arrival.at - start_);
   return id;
 }
 
 Clients::RequestPlan Clients::begin_request(Time now, OperationId id) {
   Operation& operation = operations_[id];
   ++operation.requests;
-  ++metrics_.classes[operation.arrival.cls].tries;
+  ++metrics_.classes[operation.arrival.cls].requests;
   const Duration client_timeout =
       from_millis(scenario_.classes[operation.arrival.cls].client_timeout_ms);
   RequestPlan plan;
@@ -67,7 +67,7 @@
   Operation& operation = operations_[id];
   const ClassSpec& c = scenario_.classes[operation.arrival.cls];
   if (outcome == RequestOutcome::refused) {
-    metrics_.refusal(operation.arrival.cls, now - start_);
+    metrics_.add_rejection(operation.arrival.cls, now - start_);
   }
   if (may_retry(operation, outcome)) {
     double wait = operation.backoff *
@@ -92,8 +92,8 @@
   } else if (outcome == RequestOutcome::unanswered || outcome == RequestOutcome::unreachable) {
     result = RequestResult::unanswered;
   }
-  metrics_.fate(operation.arrival.cls, operation.value, operation.arrival.at - start_, result,
-                c.late_value_fraction, elapsed);
+  metrics_.add_result(operation.arrival.cls, operation.value, operation.arrival.at - start_, result,
+                      c.late_value_fraction, elapsed);
   free_ids_.push_back(id);
   --open_operations_;
   return std::nullopt;
--- a/src/lab/simulation/experiment.hpp
+++ b/src/lab/simulation/experiment.hpp
@@ -18,7 +18,7 @@
 // One run for each of `seeds` seeds from `first` on, `jobs` at a time. Results are in order of seed
 // and do not depend on `jobs`. An exception of one run, such as from the policy, ends all runs and
 // is rethrown.
-std::vector<DayResult> simulate_runs(const Scenario& scenario, std::uint64_t first, unsigned seeds,
+std::vector<RunResult> simulate_runs(const Scenario& scenario, std::uint64_t first, unsigned seeds,
                                      unsigned jobs, const PolicyMaker& policy,
                                      const Progress& progress = {});
 
