--- a/src/lab/rig/fleet_check.cpp
+++ b/src/lab/rig/fleet_check.cpp
@@ -74,14 +74,14 @@
 }
 
 // The bound on every window from a to b:
-//   used(a, b] <= granted(a - token_lifetime, b] + per_second * (b - a + token_lifetime)
+//   used(a, b] <= granted(a - lifetime, b] + per_second * (b - a + lifetime)
 // With running sums this is a difference of two prefixes, so one pass that keeps the minimum of the
 // earlier prefixes finds the worst window.
 FleetCheck::Use FleetCheck::check_budget(const std::vector<std::pair<double, double>>& used,
                                          const std::vector<std::pair<double, double>>& granted,
                                          double per_second, double token_lifetime_s) const {
   Use out;
-  const double token_lifetime = token_lifetime_s + bounds_.slack_s;
+  const double lifetime = token_lifetime_s + bounds_.slack_s;
   std::vector<std::pair<double, double>> use_sums;
   std::vector<std::pair<double, double>> granted_sums{{-1e18, 0}};
   double sum = 0;
@@ -105,8 +105,7 @@
   std::vector<std::pair<double, double>> starts;  // time, uses before it
   for (const auto& [at, total] : use_sums) {
     // A window that begins just before the uses of this entry.
-    const double start =
-        before - granted_until(at - token_lifetime) - per_second * (at - token_lifetime);
+    const double start = before - granted_until(at - lifetime) - per_second * (at - lifetime);
     min_start = first ? start : std::min(min_start, start);
     first = false;
     const double over = total - granted_until(at + bounds_.slack_s) - per_second * at - min_start;
@@ -119,8 +118,8 @@
                            [](const auto& s, double value) { return s.first < value; });
       const double uses = total - from->second;
       const double allowed = granted_until(at + bounds_.slack_s) -
-                             granted_until(from->first - token_lifetime) +
-                             per_second * (at - from->first + token_lifetime);
+                             granted_until(from->first - lifetime) +
+                             per_second * (at - from->first + lifetime);
       if (uses >= kMinUsesForFraction && allowed > 0) {
         out.max_used_fraction = std::max(out.max_used_fraction, uses / allowed);
       }
