--- a/src/gateway/resource_limits.cpp
+++ b/src/gateway/resource_limits.cpp
@@ -5,48 +5,53 @@
 namespace gateway {
 namespace {
 
-// The divisor of the memory for bodies: each may be buffered three times, with its response beside.
+// Buffered bodies may use the process's memory divided by this: a body may be buffered three times,
+// and its response needs memory as well.
 constexpr std::size_t kBodyMemoryDivisor = 8;
-// Clients use a third of the descriptors at most for requests. Three quarters of that third may be
-// kept by connections that have sent a request; a quarter is free for new ones.
+// The clients' third: all descriptors divided by this. Each of two processes has at most that many
+// client connections plus kExtraClientConnections; kClientFifths bounds those of a sole process.
 constexpr std::size_t kClientDivisor = 3;
-constexpr std::size_t kReusedNumerator = 3;
-constexpr std::size_t kReusedDenominator = 4;
-// A sole process divides its descriptors in fifths, of which clients get three and hosts two.
+// For each process, sole or not: if more connections than this fraction of the clients' third have
+// sent a request, the one that is idle longest, if any, is closed to keep capacity for new ones.
+constexpr std::size_t kReusedConnectionsNumerator = 3;
+constexpr std::size_t kReusedConnectionsDenominator = 4;
+// A sole process divides its descriptors, without the reserved ones, into fifths: at most three for
+// connections to clients and two for connections to hosts.
 constexpr std::size_t kClientFifths = 3;
 constexpr std::size_t kUpstreamFifths = 2;
-// Descriptors for the listener, discovery, operators' calls, the event loop, the standard streams
-// and the libraries.
+// Descriptors for the listening socket, discovery, operators' calls, the event loop, the standard
+// streams and the libraries.
 constexpr std::size_t kReservedDescriptors = 32;
-// Connections beyond the clients' while there are two processes.
-constexpr std::size_t kExtraClients = 8;
+// Client connections that each of two processes may have beyond the clients' third.
+constexpr std::size_t kExtraClientConnections = 8;
 
 std::size_t fifths_of_descriptors(const config::Config& config, std::size_t fifths) {
-  return (config.sockets - kReservedDescriptors) * fifths / 5;
+  return (config.max_descriptors - kReservedDescriptors) * fifths / 5;
 }
 
 }  // namespace
 
-// Clients may connect to either of two processes, so their third is not divided; the hosts'
-// remainder is.
+// All clients may connect to the same one of two processes, so the clients' third is not divided
+// between them. The remainder, for the hosts, is.
 http::UpstreamPool::Limits upstream_limits(const config::Config& config, ProcessRole role) {
   std::size_t connections = fifths_of_descriptors(config, kUpstreamFifths);
   if (role == ProcessRole::one_of_two) {
-    const std::size_t clients = config.sockets / kClientDivisor;
-    connections = (config.sockets - clients - 2 * kReservedDescriptors) / 2;
+    const std::size_t clients = config.max_descriptors / kClientDivisor;
+    connections = (config.max_descriptors - clients - 2 * kReservedDescriptors) / 2;
   }
-  return {connections, config.connect_timeout, config.module.idle_connection_timeout};
+  return {connections, config.connect_timeout, config.balancer_settings.idle_connection_timeout};
 }
 
 http::ClientListener::Limits client_limits(const config::Config& config,
                                            http::ClientListener::Limits limits, ProcessRole role) {
-  const std::size_t third = config.sockets / kClientDivisor;
+  const std::size_t client_third = config.max_descriptors / kClientDivisor;
   const std::size_t connections = role == ProcessRole::one_of_two
-                                      ? third + kExtraClients
+                                      ? client_third + kExtraClientConnections
                                       : fifths_of_descriptors(config, kClientFifths);
   limits.connections = std::min(limits.connections, connections);
   limits.reused_connections =
-      std::min(limits.reused_connections, third * kReusedNumerator / kReusedDenominator);
+      std::min(limits.reused_connections,
+               client_third * kReusedConnectionsNumerator / kReusedConnectionsDenominator);
   limits.body_bytes = std::min(limits.body_bytes, body_memory(config, role));
   return limits;
 }
--- a/src/lab/simulation/experiment.cpp
+++ b/src/lab/simulation/experiment.cpp
@@ -14,10 +14,10 @@
 
 namespace gateway::lab {
 
-std::vector<DayResult> play_days(const Scenario& scenario, std::uint64_t first, unsigned seeds,
-                                 unsigned jobs, const PolicyMaker& policy,
-                                 const Progress& progress) {
-  std::vector<std::optional<DayResult>> days(seeds);
+std::vector<RunResult> simulate_runs(const Scenario& scenario, std::uint64_t first, unsigned seeds,
+                                     unsigned jobs, const PolicyMaker& policy,
+                                     const Progress& progress) {
+  std::vector<std::optional<RunResult>> days(seeds);
   std::vector<std::atomic<unsigned>> shares(seeds);
   std::atomic<unsigned> next{0};
   std::atomic<unsigned> running{0};
@@ -25,7 +25,7 @@
   const auto work = [&] {
     for (unsigned i = next++; i < seeds; i = next++) {
       try {
-        days[i] = play_day(scenario, first + i, policy, &shares[i]);
+        days[i] = simulate_run(scenario, first + i, policy, &shares[i]);
         shares[i] = 1000;
       } catch (...) {
         failures[i] = std::current_exception();
@@ -56,7 +56,7 @@
       std::rethrow_exception(failure);
     }
   }
-  std::vector<DayResult> results;
+  std::vector<RunResult> results;
   results.reserve(days.size());
   for (auto& day : days) {
     results.push_back(std::move(*day));
--- a/src/load_balancer/components.hpp
+++ b/src/load_balancer/components.hpp
@@ -1,8 +1,4 @@
-// The components of a Balancer. Interface (types, events, actions):
-// include/load_balancer/load_balancer.hpp.
-//
-// A request gets a priority score, is shed below the threshold and otherwise sent to a random idle
-// host, or to the less loaded of two random ones. Each component knows only those before it.
+// The components of a Balancer, whose interface is include/load_balancer/load_balancer.hpp.
 #pragma once
 
 #include "load_balancer/discovery_poller.hpp"
@@ -10,32 +6,38 @@
 
 namespace load_balancer {
 
+// A request gets a priority score. If the score is below the shedding threshold, the request is
+// shed, otherwise it is sent to a random idle host or, without one, to the less loaded of two
+// random hosts. Components are listed in order of dependency: each refers only to those before it.
 struct BalancerComponents {
   Context context;
   ActiveRequests requests;
-  HostSet fleet{context};
+  HostSet hosts{context};
   DiscoveryPoller discovery_poller{context};
-  AdmissionController admission{context, fleet};
-  OutlierDetector health{context, fleet, admission, requests};
-  ConnectionTracker connections{context, fleet};
-  SlowStart slow_start{context, fleet, admission};
-  SelectionContext selection_context{context, fleet, admission, health, connections, slow_start};
+  AdmissionController admission{context, hosts};
+  OutlierDetector outlier_detector{context, hosts, admission, requests};
+  ConnectionTracker connections{context, hosts};
+  SlowStart slow_start{context, hosts, admission};
+  SelectionContext selection_context{context,          hosts,       admission,
+                                     outlier_detector, connections, slow_start};
   HostSelector selector{selection_context};
   RequestScheduler scheduler{selection_context, requests, selector};
   Time next_sweep;
 
-  BalancerComponents(Settings s, Time t) : context(std::move(s), t), next_sweep(t + kSweep) {}
+  BalancerComponents(Settings settings, Time start)
+      : context(std::move(settings), start), next_sweep(start + kSweepInterval) {}
 
+  // Handles the timers that are due and, every kSweepInterval, updates the statistics.
   void on_wake() {
     scheduler.on_wakeup();
     if (context.now < next_sweep) {
       return;
     }
-    next_sweep = context.now + kSweep;
+    next_sweep = context.now + kSweepInterval;
     connections.sweep();
-    health.sweep();
-    fleet.sweep();
-    fleet.resize_subset(admission.confirmed_rate());
+    outlier_detector.sweep();
+    hosts.sweep();
+    hosts.resize_subset(admission.damped_arrival_rate());
     slow_start.sweep();
     scheduler.sweep();
     admission.sweep();
--- a/src/runtime/clock.hpp
+++ b/src/runtime/clock.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The clock that timeouts are measured by, and its timers: the system's steady clock in service, a
-/// manual one in tests.
+/// The clock that timeouts are measured by, and its timers: the system's steady clock in the
+/// program, a manual one in tests.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -25,15 +25,16 @@
   /// even if its time had come.
   virtual void wait_until(std::chrono::steady_clock::time_point at,
                           std::function<void()> handler) = 0;
+  /// Cancels the wait, if there is one.
   virtual void cancel() = 0;
 };
 
-/// Must outlive its timers.
+/// Must outlive its timers. Used on the event loop's thread only.
 class Clock {
  public:
   virtual ~Clock() = default;
   virtual std::chrono::steady_clock::time_point now() const = 0;
-  virtual std::unique_ptr<Timer> timer() = 0;
+  virtual std::unique_ptr<Timer> make_timer() = 0;
 };
 
 /// The system's steady clock; the io_context must outlive it.
@@ -43,7 +44,7 @@
   std::chrono::steady_clock::time_point now() const override {
     return std::chrono::steady_clock::now();
   }
-  std::unique_ptr<Timer> timer() override { return std::make_unique<SystemTimer>(io_); }
+  std::unique_ptr<Timer> make_timer() override { return std::make_unique<SystemTimer>(io_); }
 
  private:
   class SystemTimer final : public Timer {
--- a/tests/support/gateway_fixture.hpp
+++ b/tests/support/gateway_fixture.hpp
@@ -1,4 +1,4 @@
-// Fixture: a gateway with scripted hosts, clients and discovery on one event loop.
+// Test fixture: a gateway with scripted hosts, clients and discovery on one event loop.
 #pragma once
 
 #include <algorithm>
@@ -13,30 +13,34 @@
 
 namespace gateway::testing {
 
+// Members are destroyed in reverse order: the gateway before its peers and the event loop.
 class GatewayFixture : public ::testing::Test {
  protected:
   asio::io_context io;
   FakeDiscovery discovery{io};
   std::vector<std::unique_ptr<Peer>> hosts;
+  // Both take effect in start().
   json config = config_json();
-  Gateway::Waits waits;
+  Gateway::Overrides waits;
   std::unique_ptr<Gateway> gateway;
-  int serial = 0;
-  std::vector<std::string> reached;  // uid of the host of each attempt, in order
+  int serial = 0;                            // number in the latest request id
+  std::vector<std::string> attempted_hosts;  // uid of the host of each attempt, in order
 
-  // Called for each attempt with its number over all hosts.
+  // A host's behaviour: called for each attempt with the attempt's number over all hosts, from 0.
   using Script = std::function<void(PeerConnection&, std::size_t)>;
 
+  // Starts a host and adds it to the endpoint list; its uid is "s-<number>", counted from 0.
   tcp::endpoint add_host(const std::string& zone, Script script,
                          const std::string& state = "SERVING") {
     const std::string uid = "s-" + std::to_string(hosts.size());
     hosts.push_back(std::make_unique<Peer>(io, [this, uid, script](PeerConnection& c) {
-      reached.push_back(uid);
-      script(c, reached.size() - 1);
+      attempted_hosts.push_back(uid);
+      script(c, attempted_hosts.size() - 1);
     }));
     discovery.list.push_back(target(uid, hosts.back()->endpoint, zone, state));
     return hosts.back()->endpoint;
   }
+  // Starts the gateway. Unless `config` names a known endpoint list, it knows all hosts so far.
   void start() {
     config["discovery"] = text_of(discovery.peer.endpoint);
     if (!config.contains("known")) {
@@ -46,51 +50,54 @@
         io, config::parse_config(config, [](const char*) { return nullptr; }), waits,
         [](const std::string&) {});
   }
+  // See run_until().
   template <class Predicate>
   ::testing::AssertionResult until(Predicate predicate) {
     return run_until(io, predicate);
   }
-  std::shared_ptr<Client> client() { return Client::connect(io, gateway->listening()); }
-  std::string text(const std::string& kind, const std::string& headers = "",
-                   const std::string& body = "") {
+  std::shared_ptr<Client> client() { return Client::connect(io, gateway->local_endpoint()); }
+  // A request of a class ("read", "write" or "put") with an id of its own.
+  std::string request_text(const std::string& class_name, const std::string& headers = "",
+                           const std::string& body = "") {
     const std::string id = "X-Request-Id: r" + std::to_string(++serial) + "\r\n";
-    if (kind == "read") {
+    if (class_name == "read") {
       return "GET /read HTTP/1.1\r\nHost: x\r\nX-Class: read\r\n" + id + headers + "\r\n";
     }
-    return "POST /" + kind + " HTTP/1.1\r\nHost: x\r\nX-Class: " + kind + "\r\n" + id + headers +
-           (kind == "put" ? "Idempotency-Key: k1\r\n" : "") +
+    return "POST /" + class_name + " HTTP/1.1\r\nHost: x\r\nX-Class: " + class_name + "\r\n" + id +
+           headers + (class_name == "put" ? "Idempotency-Key: k1\r\n" : "") +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
   }
   // Sends one request on a new connection and returns its response; empty if closed without one.
-  Response ask(const std::string& what) {
+  Response send_request(const std::string& request) {
     auto c = client();
-    c->send(what);
-    EXPECT_TRUE(until([&] { return !c->answers.empty() || c->closed_by_peer; }));
-    if (c->answers.empty()) {
+    c->send(request);
+    EXPECT_TRUE(until([&] { return !c->responses.empty() || c->closed_by_peer; }));
+    if (c->responses.empty()) {
       return {};
     }
-    return c->answers.front();
+    return c->responses.front();
   }
-  static Script always(const std::string& reply) {
+  static Script always_reply(const std::string& reply) {
     return [reply](PeerConnection& c, std::size_t) {
       c.reply(reply);
     };
   }
-  // The first attempt of all runs `wrong`, each later one is served.
-  static Script first(std::function<void(PeerConnection&)> wrong) {
-    return [wrong](PeerConnection& c, std::size_t n) {
+  // Runs `fault` on the very first attempt and responds to each later one with status 200.
+  static Script first_attempt(std::function<void(PeerConnection&)> fault) {
+    return [fault](PeerConnection& c, std::size_t n) {
       if (n == 0) {
-        wrong(c);
+        fault(c);
       } else {
-        c.reply(answer_text(200, "", "late"));
+        c.reply(response_text(200, "", "late"));
       }
     };
   }
-  void shorten(std::size_t cls) {
+  // Sets the latency objective to 400 ms and the client timeout to 1 s; call before start().
+  void shorten_class_times(std::size_t cls) {
     config["settings"]["grades"][cls]["aimNs"] = 400'000'000;
     config["settings"]["grades"][cls]["giveUpNs"] = 1'000'000'000;
   }
-  void two_hosts(const Script& script) {
+  void start_with_two_hosts(const Script& script) {
     add_host("a", script);
     add_host("a", script);
     start();
