--- a/bench/action_digest.cpp
+++ b/bench/action_digest.cpp
@@ -1,6 +1,7 @@
-// A digest of all actions of the module over random event streams, a line for each seed: the same
-// lines from two builds mean that no action changed, the text of log lines aside. Settings, lists,
-// requests and outcomes are drawn, with every feature on or off and with events that make no sense.
+// Prints a digest of all actions of the balancer over random event streams, one line per seed.
+// Equal lines from two builds mean that no action changed, except for the text of log lines.
+// Settings, endpoint lists, requests and outcomes are random, with every feature on or off and with
+// events that are invalid in the current state.
 //
 //   action_digest [SEEDS=100] [EVENTS=20000]
 #include <xxhash.h>
@@ -21,15 +22,15 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-struct Out {
+struct InFlight {
   RequestId request;
   std::uint32_t attempt;
   HostId host;
   Time at;
 };
 
-// Kind, request, attempt, host, duration or time, and bound of the start: the layout of an earlier
-// action type, kept so that the lines of older builds can be compared.
+// Kind, request, attempt, host, duration or time, and latest start of the attempt: the layout of an
+// earlier action type, kept so that digests remain comparable with those of older builds.
 using DigestWords = std::array<std::uint64_t, 6>;
 
 constexpr auto kUnbounded = static_cast<std::uint64_t>(Duration::max().count());
@@ -129,10 +130,10 @@
   e.machine_type = "k" + std::to_string(number % 2);
   e.cell = static_cast<std::int64_t>(number % 5);
   e.weight = r.between(0.5, 2);
-  const double way = r.unit();
-  e.state = way < 0.85   ? EndpointState::active
-            : way < 0.93 ? EndpointState::draining
-                         : EndpointState::removed;
+  const double state_draw = r.unit();
+  e.state = state_draw < 0.85   ? EndpointState::active
+            : state_draw < 0.93 ? EndpointState::draining
+                                : EndpointState::removed;
   e.started_at = r.chance(0.3) ? now - milliseconds(r.below(20000)) : Time{};
   return e;
 }
@@ -146,7 +147,7 @@
   const double gap = r.between(0.1, 8);
   const double work = r.between(2, 200);
   const double bad = r.chance(0.5) ? r.between(0, 0.4) : 0;
-  std::deque<Out> out;
+  std::deque<InFlight> out;
   std::vector<RequestId> ids;
   RequestId last = 0;
   XXH3_state_t* state = XXH3_createState();
@@ -161,8 +162,8 @@
       }
     }
     balancer.actions().clear();
-    const double cut = balancer.shedding_threshold();
-    XXH3_64bits_update(state, &cut, sizeof cut);
+    const double threshold = balancer.shedding_threshold();
+    XXH3_64bits_update(state, &threshold, sizeof threshold);
   };
   std::vector<Endpoint> list;
   for (std::size_t i = 0; i < fleet; ++i) {
@@ -187,7 +188,7 @@
     } else if (what < 0.93 && !out.empty()) {
       const std::size_t at = r.below(std::min<std::size_t>(out.size(), 8));
       if (r.chance(std::min(1.0, static_cast<double>(out.size()) * gap / work))) {
-        const Out o = out[at];
+        const InFlight o = out[at];
         out.erase(out.begin() + static_cast<std::ptrdiff_t>(at));
         AttemptResult a{o.request,  o.attempt, o.host, AttemptOutcome::success,
                         now - o.at, true,      false};
--- a/bench/decision_cost.cpp
+++ b/bench/decision_cost.cpp
@@ -1,7 +1,8 @@
-// CPU of one decision by fleet size: a request and its answer, in a steady state with a few
-// requests out, one gateway of 48; and how long the slowest events take, sweeps included.
+// CPU time of one decision by fleet size: a request and its response, in a steady state with a few
+// requests in flight, for one gateway of 48; and the duration of the slowest events, sweeps
+// included.
 //
-//   decision_cost [--benchmark_filter=...]   counters: p99 and most of one event, in microseconds
+//   decision_cost [--benchmark_filter=...]   counters: p99 and maximum of one event, in us
 #include <benchmark/benchmark.h>
 
 #include <algorithm>
@@ -54,13 +55,13 @@
                     EndpointState::active, Time{}});
   }
   balancer.on_endpoint_update(now, EndpointUpdateKind::snapshot, list);
-  struct Out {
+  struct InFlight {
     RequestId id;
     std::uint32_t attempt;
     HostId host;
     Time at;
   };
-  std::deque<Out> out;
+  std::deque<InFlight> out;
   std::vector<double> took;
   RequestId last = 0;
   const auto timed = [&](auto&& event) {
@@ -85,7 +86,7 @@
     }
     balancer.actions().clear();
     while (!out.empty() && now - out.front().at >= milliseconds(5)) {
-      const Out o = out.front();
+      const InFlight o = out.front();
       out.pop_front();
       timed([&] {
         balancer.on_attempt_result(
--- a/bench/fuzz.sh
+++ b/bench/fuzz.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Fuzzes the reading of the fleet's datagrams and payloads (tests/membership/fuzz_datagram.cpp) with libFuzzer under the address
+# Fuzzes the parsers of the fleet's datagrams and payloads (tests/membership/fuzz_datagram.cpp) with libFuzzer under the address
 # and undefined-behaviour sanitizers: bench/fuzz.sh [INPUTS] [SEED]. Exits with libFuzzer's code; 0: no crash.
 set -eu
 cd "$(dirname "$0")/.."
--- a/bench/pairs.py
+++ b/bench/pairs.py
@@ -1,14 +1,14 @@
 #!/usr/bin/env python3
-"""Plays the same days of the outside bench with several builds side by side, paired by day and seed.
+"""Runs the same scenarios of the external bench with several builds, paired by scenario and seed.
 
-One play of a day says little: two builds are compared on the same days and seeds, by the mean of the differences.
-Each build plays in a copy of its checkout, so that nothing is written into the checkout; these plays are looks and
-do not count as a score.
+A single run varies too much with its seed: two builds are compared on the same scenarios and seeds, by the mean of
+the differences. Each build runs in a copy of its checkout, so that nothing is written into the checkout; these runs
+are for comparison only and do not count as a score.
 
     bench/pairs.py --bench LBREAL --site SITE.toml old=../before new=. -- calm+mass:3 split+mass:3 split+mass:4
     bench/pairs.py --bench LBREAL --site SITE.toml --json pairs.json --logs logs new=. -- herd+mass:7
 
-A checkout has to be built. Exits 0 if every play ended without a broken rule or a fault, 1 otherwise, 2 on bad usage.
+A checkout has to be built. Exits 0 if every run ended without a broken rule or a fault, 1 otherwise, 2 on bad usage.
 """
 import argparse
 import concurrent.futures
@@ -23,7 +23,7 @@
 
 
 def copy_of(checkout, into):
-    """The deploy file and what it starts; a repository of its own keeps the bench's journal out of the checkout."""
+    """Copies the deploy file and the programs it starts; a separate repository keeps the bench's journal out of the checkout."""
     skipped = shutil.ignore_patterns(".git", "journal", "CMakeFiles", "build-*", "*.a")
     shutil.copytree(checkout, into, ignore=skipped)
     subprocess.run("git init -q . && git add deploy && git commit -qm copy", shell=True, cwd=into, check=True)
@@ -40,12 +40,12 @@
     done = subprocess.run(command, cwd=folder, capture_output=True, text=True)
     if not report.exists():
         return {"build": name, "day": day, "fault": (done.stdout + done.stderr).strip()[-300:]}
-    told = json.loads(report.read_text())
-    row, signs = told["row"], told["signature"]
-    return {"build": name, "day": day, "g": told["g"], "fault": row["fault"], "broken": sum(row["rules"].values()),
-            "score": (told["g"] - row["G_floor"]) / (row["G_top"] - row["G_floor"]),
+    result = json.loads(report.read_text())
+    row, signs = result["row"], result["signature"]
+    return {"build": name, "day": day, "g": result["g"], "fault": row["fault"], "broken": sum(row["rules"].values()),
+            "score": (result["g"] - row["G_floor"]) / (row["G_top"] - row["G_floor"]),
             "served": row["served"], "served_late": row["served_late"], "refused": signs["refused_share"],
-            "same_zone": signs["same_zone_share"], **{p: told["prices"][p] for p in PRICES}}
+            "same_zone": signs["same_zone_share"], **{p: result["prices"][p] for p in PRICES}}
 
 
 def main():
--- a/bench/rig.py
+++ b/bench/rig.py
@@ -1,13 +1,13 @@
 #!/usr/bin/env python3
-"""Plays rig files with several builds of the gateway, seed by seed, and prints the spread at the hosts.
+"""Runs rig files with several builds of the gateway, seed by seed, and prints the request spread over the hosts.
 
-Each play is one `gateway-lab rig` in a temporary folder of its own; the laboratory ends its gateways by their ids
-on any exit. Plays come one after the other: hundreds of processes share this machine.
+Each run is one `gateway-lab rig` in a temporary folder of its own; the laboratory ends its gateways by their ids
+on any exit. Runs follow one another, because a run starts up to hundreds of processes.
 
     bench/rig.py --lab build-test/gateway-lab --seeds 1 2 3 --json rig.json \
         before=../before/build/gateway now=build/gateway -- scenarios/rig/calm.json scenarios/rig/heavy.json
 
-Exits 0 if every play broke no rule, lost no gateway and was not void, 1 otherwise, 2 on bad usage.
+Exits 0 if every run violated no rule, lost no gateway and was not void, 1 otherwise, 2 on bad usage.
 """
 import argparse
 import json
@@ -19,7 +19,7 @@
 FIGURES = ("max_over_mean", "variation", "idle_hosts", "herd_peak", "handshakes_per_request")
 
 
-def play(options, program, plan, seed):
+def run_rig(options, program, plan, seed):
     command = [options.lab, "rig", plan, "--seed", str(seed), "--gateway", program, "--json"]
     for assignment in options.set:
         command += ["--set", assignment]
@@ -41,7 +41,7 @@
     parser.add_argument("--lab", required=True, help="gateway-lab")
     parser.add_argument("--seeds", type=int, nargs="+", default=[1, 2, 3])
     parser.add_argument("--set", action="append", default=[], help="set a field of the scenario, as rig --set")
-    parser.add_argument("--timeout", type=float, default=300, help="seconds for one play")
+    parser.add_argument("--timeout", type=float, default=300, help="seconds for one run")
     parser.add_argument("--json", help="write all figures here")
     parser.add_argument("builds", nargs="+", metavar="NAME=PROGRAM")
     own = sys.argv[1:]
@@ -50,15 +50,15 @@
     if not plans or any("=" not in b for b in options.builds):
         parser.error("builds are NAME=PROGRAM, and after -- come rig files")
     rows, good = [], True
-    print(f"{'play':16} {'build':8} seed in time max/mean    cv idle  herd (calm) back  handshakes  conns cpu us   MB")
+    print(f"{'plan':16} {'build':8} seed in time max/mean    cv idle  herd (calm) back  handshakes  conns cpu us   MB")
     for plan in plans:
         for seed in options.seeds:
             for build in options.builds:
                 name, program = build.split("=", 1)
-                r = {"plan": pathlib.Path(plan).stem, "build": name, "seed": seed, **play(options, program, plan, seed)}
+                r = {"plan": pathlib.Path(plan).stem, "build": name, "seed": seed, **run_rig(options, program, plan, seed)}
                 rows.append(r)
                 if "fault" in r:
-                    print(f"{r['plan']:16} {name:8} {seed:4} not played: {r['fault']}")
+                    print(f"{r['plan']:16} {name:8} {seed:4} not run: {r['fault']}")
                     good = False
                     continue
                 good &= not r["breaches"] and not r["died"] and not r["void"]
--- a/install-packages.sh
+++ b/install-packages.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs with apt-get what building and testing need, where something is missing. Debian 12.
+# Installs the packages for building and testing with apt-get if any of them is missing. Debian 12.
 set -eu
 missing=
 for tool in g++ cmake ninja clang-format clang-tidy run-clang-tidy; do command -v "$tool" >/dev/null || missing="$missing $tool"; done
@@ -8,7 +8,7 @@
   [ -e "/usr/include/$header" ] || missing="$missing $header"
 done
 [ -n "$missing" ] || exit 0
-echo "installing, for want of:$missing"
+echo "installing packages for missing:$missing"
 root=
 [ "$(id -u)" = 0 ] || root=sudo
 $root apt-get update -q
--- a/src/lab/analysis/report.cpp
+++ b/src/lab/analysis/report.cpp
@@ -16,8 +16,8 @@
 using json = nlohmann::ordered_json;
 
 constexpr double kWidth = 860, kHeight = 220, kLeft = 52, kRight = 12, kTop = 22, kBottom = 28;
-constexpr std::array<const char*, 6> kColours{"#2f6db3", "#c8553d", "#3d8b5f",
-                                              "#8a5fb0", "#b08a2e", "#4f5b66"};
+constexpr std::array<const char*, 6> kClassColours{"#2f6db3", "#c8553d", "#3d8b5f",
+                                                   "#8a5fb0", "#b08a2e", "#4f5b66"};
 constexpr std::array<const char*, 8> kOutcomeColours{"#3d8b5f", "#c8553d", "#b08a2e", "#8a5fb0",
                                                      "#2f6db3", "#7a3b2e", "#9aa5b1", "#4f5b66"};
 
@@ -55,7 +55,7 @@
   double low = 0, high = 1;
   std::string label;
   bool logarithmic = false;
-  double place(double value) const {  // 0 to 1
+  double position(double value) const {  // 0 to 1 between low and high
     if (logarithmic) {
       return (std::log(value) - std::log(low)) / (std::log(high) - std::log(low));
     }
@@ -88,10 +88,10 @@
 };
 
 double x_of(const Axis& x, double value) {
-  return kLeft + x.place(value) * (kWidth - kLeft - kRight);
+  return kLeft + x.position(value) * (kWidth - kLeft - kRight);
 }
 double y_of(const Axis& y, double value, double height = kHeight) {
-  return height - kBottom - std::clamp(y.place(value), 0.0, 1.0) * (height - kTop - kBottom);
+  return height - kBottom - std::clamp(y.position(value), 0.0, 1.0) * (height - kTop - kBottom);
 }
 
 std::string tick_text(double value) {
@@ -148,67 +148,69 @@
   return out + "</svg>";
 }
 
-// Share of the worth earned, in a sliding window of so many seconds (a single one is noise).
-constexpr std::size_t kSmooth = 3;
+// Sliding window of the plots; values of single seconds are too noisy.
+constexpr std::size_t kSmoothingSeconds = 3;
 
-std::vector<std::pair<double, double>> shares(const json& cls) {
+// Earned over requested value of a class, in a sliding window.
+std::vector<std::pair<double, double>> earned_fractions(const json& cls) {
   const json& asked = cls.at("asked_by_second");
   const json& earned = cls.at("earned_by_second");
   std::vector<std::pair<double, double>> out;
-  for (std::size_t i = 0; i + kSmooth <= asked.size(); ++i) {
+  for (std::size_t i = 0; i + kSmoothingSeconds <= asked.size(); ++i) {
     double all = 0;
     double good = 0;
-    for (std::size_t k = i; k < i + kSmooth; ++k) {
+    for (std::size_t k = i; k < i + kSmoothingSeconds; ++k) {
       all += asked[k].get<double>(), good += earned[k].get<double>();
     }
     if (all > 0) {
-      out.emplace_back(static_cast<double>(i) + kSmooth / 2.0, good / all);
+      out.emplace_back(static_cast<double>(i) + kSmoothingSeconds / 2.0, good / all);
     }
   }
   return out;
 }
 
+// One of the runs that are shown side by side.
 struct Side {
   const json* day;
   std::string name;
   bool dashed;
 };
 
-const json kNone = json::array();
+const json kEmptyArray = json::array();
 
 const json& part(const json& day, const char* name) {
-  return day.contains(name) ? day.at(name) : kNone;
+  return day.contains(name) ? day.at(name) : kEmptyArray;
 }
 
 double length_of(const json& day) {
   return std::max<double>(static_cast<double>(part(day, "cutoff_by_second").size()), 1);
 }
 
-// Of one class; runs side by side are told apart by name and dashes, classes by colour.
+// An empty series of one class: the colour distinguishes classes, the name and dashes the runs.
 Series series_of(const Side& side, const json& of_class, std::size_t number) {
   return {of_class.at("name").get<std::string>() + side.name,
-          kColours[number % kColours.size()],
+          kClassColours[number % kClassColours.size()],
           {},
           side.dashed};
 }
 
 std::string in_time_chart(const std::vector<Side>& sides) {
   Axis x{0, length_of(*sides[0].day), "seconds since the clients began"};
-  Axis y{0, 1, "worth earned / asked for"};
+  Axis y{0, 1, "value earned / requested"};
   std::vector<Series> series;
   for (const Side& side : sides) {
     std::size_t colour = 0;
     for (const json& c : side.day->at("classes")) {
       series.push_back(series_of(side, c, colour++));
-      series.back().points = shares(c);
+      series.back().points = earned_fractions(c);
     }
   }
   return chart(x, y, series, part(*sides[0].day, "troubles"));
 }
 
 std::string latency_chart(const std::vector<Side>& sides) {
-  Axis x{0, 3, "share answered faster: 0 = none, 1 = 90 %, 2 = 99 %, 3 = 99.9 %"};
-  Axis y{1, 10, "ms, from when it was due", true};
+  Axis x{0, 3, "fraction served faster: 0 = none, 1 = 90 %, 2 = 99 %, 3 = 99.9 %"};
+  Axis y{1, 10, "ms, from the due time", true};
   std::vector<Series> series;
   double least = 1e9;
   double most = 1;
@@ -229,12 +231,12 @@
   }
   y.low = std::max(least * 0.8, 0.1);
   y.high = std::max(most * 1.2, y.low * 2);
-  return chart(x, y, series, kNone);
+  return chart(x, y, series, kEmptyArray);
 }
 
-std::string refusal_chart(const std::vector<Side>& sides) {
+std::string rejection_chart(const std::vector<Side>& sides) {
   Axis x{0, length_of(*sides[0].day), "seconds since the clients began"};
-  Axis y{0, 1, "refusals a second by class; cutoff (0 to 100)"};
+  Axis y{0, 1, "rejections per second by class; shedding threshold (0 to 100)"};
   std::vector<Series> series;
   for (const Side& side : sides) {
     std::size_t colour = 0;
@@ -247,13 +249,13 @@
       }
       series.push_back(std::move(s));
     }
-    Series cut{"cutoff" + side.name, "#111111", {}, side.dashed};
+    Series threshold{"shedding threshold" + side.name, "#111111", {}, side.dashed};
     const json& values = part(*side.day, "cutoff_by_second");
     for (std::size_t i = 0; i < values.size(); ++i) {
-      cut.points.emplace_back(static_cast<double>(i) + 0.5, values[i].get<double>());
+      threshold.points.emplace_back(static_cast<double>(i) + 0.5, values[i].get<double>());
       y.high = std::max(y.high, values[i].get<double>());
     }
-    series.push_back(std::move(cut));
+    series.push_back(std::move(threshold));
   }
   y.high *= 1.1;
   return chart(x, y, series, part(*sides[0].day, "troubles"));
@@ -288,15 +290,15 @@
   return out + legend + "</svg>";
 }
 
-// Hosts are rows; of a large fleet each row is the mean of several. White: idle; dark: much held a
-// core.
+// Jobs per core, a row per host; in a large fleet each row is the mean of several hosts. White:
+// idle; red: 8 or more jobs per core; grey: not running.
 std::string heat_map(const json& day) {
   const json& load = part(day, "held_per_core");
   if (load.empty()) {
     return "";
   }
-  constexpr std::size_t kMostRows = 120;
-  const std::size_t each = (load.size() + kMostRows - 1) / kMostRows;
+  constexpr std::size_t kMaxRows = 120;
+  const std::size_t each = (load.size() + kMaxRows - 1) / kMaxRows;
   const std::size_t rows = (load.size() + each - 1) / each;
   std::size_t seconds = 1;
   for (const json& row : load) {
@@ -306,7 +308,7 @@
   const double wide = (kWidth - kLeft - kRight) / static_cast<double>(seconds);
   const double height = kTop + tall * static_cast<double>(rows) + kBottom;
   std::string out = "<svg viewBox='0 0 860 " + number(height, 0) +
-                    "'><text x='52' y='12' class='label'>held a core, by host (" +
+                    "'><text x='52' y='12' class='label'>jobs per core, by host (" +
                     std::to_string(load.size()) +
                     (each > 1 ? ", " + std::to_string(each) + " to a row" : "") +
                     "): white 0, red 8 and more, grey: not running</text>";
@@ -341,11 +343,11 @@
   return out + "</svg>";
 }
 
-std::string day_table(const json& results, const std::string& name) {
+std::string run_table(const json& results, const std::string& name) {
   std::string out =
       "<table><tr><th>seed" + name +
       "</th><th>service</th><th>in time</th><th>worst 10 s</th><th>worst class</th><th>wasted</th>"
-      "<th>attempts</th><th>rules broken</th></tr>";
+      "<th>attempts</th><th>rules violated</th></tr>";
   for (const json& d : results.at("days")) {
     std::string broken;
     for (const auto& [rule, count] : d.at("breaches").items()) {
@@ -364,7 +366,7 @@
 
 std::string class_table(const json& day) {
   std::string out =
-      "<table><tr><th>class</th><th>wishes</th><th>tries</th><th>in "
+      "<table><tr><th>class</th><th>operations</th><th>requests</th><th>in "
       "time</th><th>late</th><th>refused</th>"
       "<th>failed</th><th>unanswered</th><th>p50 ms</th><th>p99 ms</th></tr>";
   for (const json& c : day.at("classes")) {
@@ -396,8 +398,8 @@
   return out + "</table>";
 }
 
-// Of a day with real gateways: how evenly requests landed at the hosts, second by second, and the
-// connections that came up for them.
+// For a run with real gateways: how evenly requests arrive at the hosts, second by second, and how
+// many connections were opened for them.
 // NOLINTNEXTLINE(readability-function-size): too long
 std::string spread_section(const json& day) {
   const json& live = day.at("live");
@@ -406,14 +408,14 @@
   Axis x{0, std::max<double>(static_cast<double>(requests.size()), 1),
          "seconds since the clients began"};
   Axis y{0, 2, "times the mean"};
-  Axis share{0, 0.1, "handshakes a request"};
-  Series most{"most at one host", kColours[1], {}};
-  Series least{"least", kColours[0], {}};
-  Series fresh{"all hosts", kColours[3], {}};
-  for (std::size_t s = 0; s + kSmooth <= requests.size(); ++s) {
+  Axis share{0, 0.1, "handshakes per request"};
+  Series most{"most at one host", kClassColours[1], {}};
+  Series least{"least", kClassColours[0], {}};
+  Series fresh{"all hosts", kClassColours[3], {}};
+  for (std::size_t s = 0; s + kSmoothingSeconds <= requests.size(); ++s) {
     std::vector<double> hosts;
     double made = 0;
-    for (std::size_t k = s; k < s + kSmooth; ++k) {
+    for (std::size_t k = s; k < s + kSmoothingSeconds; ++k) {
       hosts.resize(std::max(hosts.size(), requests[k].size()));
       for (std::size_t h = 0; h < requests[k].size(); ++h) {
         hosts[h] += requests[k][h].get<double>();
@@ -432,7 +434,7 @@
       continue;
     }
     const double mean = sum / static_cast<double>(hosts.size());
-    const double at = static_cast<double>(s) + kSmooth / 2.0;
+    const double at = static_cast<double>(s) + kSmoothingSeconds / 2.0;
     most.points.emplace_back(at, *std::max_element(hosts.begin(), hosts.end()) / mean);
     least.points.emplace_back(at, *std::min_element(hosts.begin(), hosts.end()) / mean);
     fresh.points.emplace_back(at, made / sum);
@@ -440,12 +442,12 @@
     share.high = std::max(share.high, fresh.points.back().second * 1.05);
   }
   std::string out =
-      "<h2>Spread over the hosts</h2><p>Sums of " + std::to_string(kSmooth) +
+      "<h2>Spread over the hosts</h2><p>Sums of " + std::to_string(kSmoothingSeconds) +
       " s, at the busiest and the idlest host; a few requests a host scatter by chance.</p>" +
       chart(x, y, {most, least}, part(day, "troubles")) +
       chart(x, share, {fresh}, part(day, "troubles")) +
       "<table><tr><th>when</th><th>max/mean</th><th>variation</th><th>idle hosts</th>"
-      "<th>herd peak</th><th>handshakes a request</th></tr>";
+      "<th>herd peak</th><th>handshakes per request</th></tr>";
   const auto row = [&](const std::string& when, const json& s) {
     out += "<tr><td>" + escaped(when) + "</td>";
     for (const char* figure :
@@ -454,13 +456,13 @@
     }
     out += "</tr>";
   };
-  row("the day", live.at("spread"));
+  row("the run", live.at("spread"));
   for (const json& phase : live.at("back")) {
     row("2 s after " + phase.at("name").get<std::string>(), phase.at("spread"));
   }
   out += "</table>";
   if (!live.at("events").empty()) {
-    out += "<h2>Faults and moves</h2><ul>";
+    out += "<h2>Faults and actions</h2><ul>";
   }
   for (const json& e : live.at("events")) {
     out += "<li>" + escaped(e.get<std::string>()) + "</li>";
@@ -488,7 +490,7 @@
 std::string render_report(const json& a, const json* b) {
   const auto check = [](const json& results, const char* side) {
     if (!results.is_object() || !results.contains("days") || results["days"].empty()) {
-      throw std::invalid_argument(std::string(side) + " holds no results of `run --full --out`");
+      throw std::invalid_argument(std::string(side) + " contains no results of `run --full --out`");
     }
     if (!results["days"][0].contains("held_per_core")) {
       throw std::invalid_argument(std::string(side) +
@@ -506,18 +508,18 @@
   std::string out = "<!doctype html><html lang='en'><meta charset='utf-8'><title>" + scenario +
                     "</title>" + kStyle + "<h1>" + scenario + "</h1><p>Plots: seed " +
                     std::to_string(day.at("seed").get<std::uint64_t>()) +
-                    ", yellow: a trouble. Tables: all " + std::to_string(a["days"].size()) +
-                    " days.</p>";
+                    ", yellow: a fault. Tables: all " + std::to_string(a["days"].size()) +
+                    " runs.</p>";
   if (b) {
     out += difference_table(a, *b);
   }
-  out += "<h2>Worth answered in time, by class</h2><p>Mean of " + std::to_string(kSmooth) +
-         " s, by the second in which the client's wish was born.</p>" + in_time_chart(sides);
+  out += "<h2>Value earned in time, by class</h2><p>Mean of " + std::to_string(kSmoothingSeconds) +
+         " s, by the second in which the client's operation began.</p>" + in_time_chart(sides);
   if (day.contains("live") && day.at("live").contains("landed_each_second")) {
     out += spread_section(day);
   }
-  out += "<h2>Latency of what was served</h2>" + latency_chart(sides);
-  out += "<h2>Refusals and the cutoff</h2>" + refusal_chart(sides);
+  out += "<h2>Latency of served operations</h2>" + latency_chart(sides);
+  out += "<h2>Rejections and shedding threshold</h2>" + rejection_chart(sides);
   for (const Side& side : sides) {
     out += "<h2>Attempts by outcome" + side.name + "</h2>" + outcome_bar(*side.day);
   }
@@ -527,9 +529,9 @@
   for (const Side& side : sides) {
     out += "<h2>Classes" + side.name + "</h2>" + class_table(*side.day);
   }
-  out += "<h2>Days</h2>" + day_table(a, b ? " A" : "");
+  out += "<h2>Runs</h2>" + run_table(a, b ? " A" : "");
   if (b) {
-    out += day_table(*b, " B");
+    out += run_table(*b, " B");
   }
   return out + "</html>\n";
 }
--- a/src/lab/analysis/report.hpp
+++ b/src/lab/analysis/report.hpp
@@ -1,4 +1,4 @@
-// One HTML file of what days showed; it opens offline, with inline SVG and nothing loaded.
+// Renders the results of runs as one HTML file that opens offline: inline SVG, nothing loaded.
 #pragma once
 
 #include <nlohmann/json_fwd.hpp>
@@ -6,9 +6,9 @@
 
 namespace gateway::lab {
 
-// `a`: results as written by `run --full`; `b`: others to set beside them, or null. Plots show the
-// first day that both hold, tables all of them. Throws std::invalid_argument with one line on what
-// is no such result.
+// `a`: results as written by `run --full --out`; `b`: results to compare with them, or null. Plots
+// show the first run of each, tables all runs. Throws std::invalid_argument with one line that says
+// which side is not such a result, and why.
 std::string render_report(const nlohmann::ordered_json& a, const nlohmann::ordered_json* b);
 
 }  // namespace gateway::lab
--- a/src/lab/analysis/run_metrics.cpp
+++ b/src/lab/analysis/run_metrics.cpp
@@ -7,19 +7,19 @@
 namespace gateway::lab {
 namespace {
 
-constexpr std::array<std::string_view, kFates> kFateNames{"in_time", "late", "refused", "failed",
-                                                          "unanswered"};
+constexpr std::array<std::string_view, kRequestResults> kResultNames{"in_time", "late", "refused",
+                                                                     "failed", "unanswered"};
 constexpr std::array<std::string_view, 9> kOutcomeNames{"served",    "error",          "full",
                                                         "timeout",   "connect_failed", "reset",
                                                         "cancelled", "moot",           "rejected"};
-constexpr std::size_t kWindow = 10;  // seconds
+constexpr std::size_t kWindowSeconds = 10;
 
 std::size_t second_of(Duration at) {
   return static_cast<std::size_t>(std::max(to_seconds(at), 0.0));
 }
 
 template <class T>
-T& grown(std::vector<T>& items, std::size_t at) {
+T& element_at(std::vector<T>& items, std::size_t at) {
   if (items.size() <= at) {
     items.resize(at + 1);
   }
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-std::string_view name_of(RequestResult fate) {
-  return kFateNames[static_cast<std::size_t>(fate)];
+std::string_view name_of(RequestResult result) {
+  return kResultNames[static_cast<std::size_t>(result)];
 }
 
 Latency make_latency() {
@@ -49,17 +49,17 @@
   return static_cast<std::uint64_t>(all);
 }
 
-double percentile(const Latency& h, double share) {
-  const double want = share * static_cast<double>(count_of(h));
+double percentile(const Latency& h, double fraction) {
+  const double target_count = fraction * static_cast<double>(count_of(h));
   double seen = 0;
   double at = 0;
-  if (want <= 0) {
+  if (target_count <= 0) {
     return 0;
   }
   for (auto&& bin : boost::histogram::indexed(h, boost::histogram::coverage::all)) {
     seen += *bin;
     at = bin.bin().upper();
-    if (seen >= want) {
+    if (seen >= target_count) {
       break;
     }
   }
@@ -73,43 +73,43 @@
   }
 }
 
-void RunMetrics::wish(std::uint32_t cls, double worth, Duration born_at) {
+void RunMetrics::add_operation(std::uint32_t cls, double value, Duration begun_at) {
   ClassTally& c = classes[cls];
-  ++c.wishes;
-  c.asked += worth;
-  grown(c.seconds, second_of(born_at)).asked += worth;
+  ++c.operations;
+  c.asked += value;
+  element_at(c.seconds, second_of(begun_at)).asked += value;
 }
 
-void RunMetrics::fate(std::uint32_t cls, double worth, Duration born_at, RequestResult fate,
-                      double late_share, Duration taken) {
+void RunMetrics::add_result(std::uint32_t cls, double value, Duration begun_at,
+                            RequestResult result, double late_value_fraction, Duration latency) {
   ClassTally& c = classes[cls];
-  ++c.fates[static_cast<std::size_t>(fate)];
-  const double earned = fate == RequestResult::in_time ? worth
-                        : fate == RequestResult::late  ? worth * late_share
-                                                       : 0;
+  ++c.results[static_cast<std::size_t>(result)];
+  const double earned = result == RequestResult::in_time ? value
+                        : result == RequestResult::late  ? value * late_value_fraction
+                                                         : 0;
   c.earned += earned;
-  grown(c.seconds, second_of(born_at)).earned += earned;
-  if (fate == RequestResult::in_time || fate == RequestResult::late) {
-    c.latency(to_seconds(taken) * 1e3);
+  element_at(c.seconds, second_of(begun_at)).earned += earned;
+  if (result == RequestResult::in_time || result == RequestResult::late) {
+    c.latency(to_seconds(latency) * 1e3);
   }
 }
 
-void RunMetrics::refusal(std::uint32_t cls, Duration at) {
-  ++grown(classes[cls].refusals, second_of(at));
+void RunMetrics::add_rejection(std::uint32_t cls, Duration at) {
+  ++element_at(classes[cls].rejections, second_of(at));
 }
 
-double DayResult::in_time() const {
+double RunResult::in_time() const {
   double asked = 0;
   double earned = 0;
-  for (const ClassTally& c : tally.classes) {
+  for (const ClassTally& c : metrics.classes) {
     asked += c.asked, earned += c.earned;
   }
   return asked > 0 ? earned / asked : 1;
 }
 
-double DayResult::worst_class() const {
+double RunResult::worst_class() const {
   double worst = 1;
-  for (const ClassTally& c : tally.classes) {
+  for (const ClassTally& c : metrics.classes) {
     if (c.asked > 0) {
       worst = std::min(worst, c.earned / c.asked);
     }
@@ -117,11 +117,11 @@
   return worst;
 }
 
-double DayResult::worst_window() const {
+double RunResult::worst_window() const {
   std::vector<Second> all;
-  for (const ClassTally& c : tally.classes) {
+  for (const ClassTally& c : metrics.classes) {
     for (std::size_t i = 0; i < c.seconds.size(); ++i) {
-      grown(all, i).asked += c.seconds[i].asked;
+      element_at(all, i).asked += c.seconds[i].asked;
       all[i].earned += c.seconds[i].earned;
     }
   }
@@ -129,8 +129,8 @@
   for (const Second& s : all) {
     total += s.asked;
   }
-  const std::size_t window = std::min(kWindow, all.size());
-  const double least =
+  const std::size_t window = std::min(kWindowSeconds, all.size());
+  const double min_asked =
       all.empty() ? 0
                   : 0.05 * total / static_cast<double>(all.size()) * static_cast<double>(window);
   double worst = 1;
@@ -139,47 +139,47 @@
     for (std::size_t k = 0; k < window; ++k) {
       sum.asked += all[i + k].asked, sum.earned += all[i + k].earned;
     }
-    if (sum.asked > least) {
+    if (sum.asked > min_asked) {
       worst = std::min(worst, sum.earned / sum.asked);
     }
   }
   return worst;
 }
 
-double DayResult::service() const {
+double RunResult::service() const {
   return 0.45 * in_time() + 0.35 * worst_window() + 0.2 * worst_class();
 }
 
-double DayResult::wasted() const {
-  return tally.work_done > 0 ? std::max(1 - tally.work_useful / tally.work_done, 0.0) : 0;
+double RunResult::wasted() const {
+  return metrics.work_done > 0 ? std::max(1 - metrics.work_useful / metrics.work_done, 0.0) : 0;
 }
 
-bool DayResult::clean() const {
-  return std::all_of(breaches.begin(), breaches.end(), [](std::uint64_t n) { return n == 0; });
+bool RunResult::is_clean() const {
+  return std::all_of(violations.begin(), violations.end(), [](std::uint64_t n) { return n == 0; });
 }
 
 // NOLINTNEXTLINE(readability-function-cognitive-complexity,readability-function-size): too long
-nlohmann::ordered_json to_json(const DayResult& day, bool full) {
+nlohmann::ordered_json to_json(const RunResult& run, bool full) {
   using json = nlohmann::ordered_json;
-  const RunMetrics& t = day.tally;
-  json out{{"scenario", day.scenario},
-           {"seed", day.seed},
-           {"service", rounded(day.service())},
-           {"in_time", rounded(day.in_time())},
-           {"worst_window", rounded(day.worst_window())},
-           {"worst_class", rounded(day.worst_class())},
-           {"wasted", rounded(day.wasted())},
-           {"simulated_s", rounded(day.simulated_s)},
-           {"events", day.events}};
+  const RunMetrics& t = run.metrics;
+  json out{{"scenario", run.scenario},
+           {"seed", run.seed},
+           {"service", rounded(run.service())},
+           {"in_time", rounded(run.in_time())},
+           {"worst_window", rounded(run.worst_window())},
+           {"worst_class", rounded(run.worst_class())},
+           {"wasted", rounded(run.wasted())},
+           {"simulated_s", rounded(run.simulated_s)},
+           {"events", run.events}};
   json rules = json::object();
   for (std::size_t i = 0; i < kRules; ++i) {
-    if (day.breaches[i] > 0) {
-      rules[std::string(name_of(static_cast<Rule>(i)))] = day.breaches[i];
+    if (run.violations[i] > 0) {
+      rules[std::string(name_of(static_cast<Rule>(i)))] = run.violations[i];
     }
   }
   out["breaches"] = rules;
   json first = json::array();
-  for (const Breach& b : day.first_breaches) {
+  for (const Violation& b : run.first_violations) {
     first.push_back({{"rule", name_of(b.rule)},
                      {"at_s", rounded(to_seconds(b.at))},
                      {"gateway", b.gateway},
@@ -189,14 +189,14 @@
   json classes = json::array();
   for (const ClassTally& c : t.classes) {
     json one{{"name", c.name},
-             {"wishes", c.wishes},
-             {"tries", c.tries},
+             {"wishes", c.operations},
+             {"tries", c.requests},
              {"asked", rounded(c.asked)},
              {"earned", rounded(c.earned)},
              {"p50_ms", rounded(percentile(c.latency, 0.5))},
              {"p99_ms", rounded(percentile(c.latency, 0.99))}};
-    for (std::size_t i = 0; i < kFates; ++i) {
-      one[std::string(kFateNames[i])] = c.fates[i];
+    for (std::size_t i = 0; i < kRequestResults; ++i) {
+      one[std::string(kResultNames[i])] = c.results[i];
     }
     if (full) {
       json asked = json::array();
@@ -206,7 +206,7 @@
       }
       one["asked_by_second"] = asked;
       one["earned_by_second"] = earned;
-      one["refusals_by_second"] = c.refusals;
+      one["refusals_by_second"] = c.rejections;
       json shares = json::array();
       for (double p : {0.1, 0.25, 0.5, 0.75, 0.9, 0.95, 0.99, 0.999}) {
         shares.push_back({p, rounded(percentile(c.latency, p))});
@@ -221,14 +221,14 @@
     outcomes[std::string(kOutcomeNames[i])] = t.outcomes[i];
   }
   out["attempts"] = {{"all", t.attempts},
-                     {"crossings", t.crossings},
+                     {"crossings", t.cross_zone_attempts},
                      {"handshakes", t.handshakes},
                      {"second_copies", t.second_copies},
                      {"outcomes", outcomes}};
   out["list_lines"] = t.list_lines;
   if (full) {
     json cut = json::array();
-    for (double c : t.cutoffs) {
+    for (double c : t.shedding_thresholds) {
       cut.push_back(rounded(c));
     }
     out["cutoff_by_second"] = cut;
--- a/src/lab/cli/commands.cpp
+++ b/src/lab/cli/commands.cpp
@@ -39,26 +39,26 @@
   command.add_flag("--json", o.json, "print JSON");
 }
 
-ordered results_of(const Scenario& scenario, const std::vector<DayResult>& days, bool full) {
+ordered results_of(const Scenario& scenario, const std::vector<RunResult>& days, bool full) {
   ordered out{{"scenario", scenario.name}, {"days", ordered::array()}};
-  for (const DayResult& day : days) {
+  for (const RunResult& day : days) {
     out["days"].push_back(to_json(day, full));
   }
   return out;
 }
 
-std::string broken_rules(const DayResult& day) {
+std::string broken_rules(const RunResult& day) {
   std::string text;
   for (std::size_t i = 0; i < kRules; ++i) {
-    if (day.breaches[i] > 0) {
+    if (day.violations[i] > 0) {
       text += (text.empty() ? "" : ", ") + std::string(name_of(static_cast<Rule>(i))) + " x" +
-              std::to_string(day.breaches[i]);
+              std::to_string(day.violations[i]);
     }
   }
   return text.empty() ? "-" : text;
 }
 
-std::vector<DayResult> play(const Scenario& scenario, const RunOptions& o,
+std::vector<RunResult> play(const Scenario& scenario, const RunOptions& o,
                             const std::string& what) {
   ProgressBar bar(what);
   return simulate_runs(scenario, o.first, o.seeds, o.jobs, make_balancer, bar.callback());
@@ -158,7 +158,7 @@
   }
 }
 
-void print_days(const std::vector<DayResult>& days) {
+void print_days(const std::vector<RunResult>& days) {
   std::printf("%8s %8s %8s %8s %8s %8s  %s\n", "seed", "service", "in time", "window", "class",
               "wasted", "rules broken");
   double service = 0;
@@ -166,7 +166,7 @@
   double window = 0;
   double cls = 0;
   double wasted = 0;
-  for (const DayResult& d : days) {
+  for (const RunResult& d : days) {
     std::printf("%8llu %8.3f %8.3f %8.3f %8.3f %8.3f  %s\n",
                 static_cast<unsigned long long>(d.seed), d.service(), d.in_time(), d.worst_window(),
                 d.worst_class(), d.wasted(), broken_rules(d).c_str());
@@ -175,8 +175,8 @@
     cls += d.worst_class() / n, wasted += d.wasted() / n;
   }
   std::printf("%8s %8.3f %8.3f %8.3f %8.3f %8.3f\n", "mean", service, in_time, window, cls, wasted);
-  for (const DayResult& d : days) {
-    for (const Breach& b : d.first_breaches) {
+  for (const RunResult& d : days) {
+    for (const Violation& b : d.first_violations) {
       std::printf("RULE BROKEN, seed %llu, at %.3f s, gateway %u: %s: %s\n",
                   static_cast<unsigned long long>(d.seed), to_seconds(b.at), b.gateway,
                   std::string(name_of(b.rule)).c_str(), b.what.c_str());
@@ -282,7 +282,7 @@
       "  gateway-lab run scenarios/rough.json --first 7 --seeds 1 --full --out day7.json");
   command->callback([o, &result] {
     const Scenario scenario = open_scenario(o->scenario, o->set);
-    const std::vector<DayResult> days = play(scenario, *o, scenario.name);
+    const std::vector<RunResult> days = play(scenario, *o, scenario.name);
     const ordered results = results_of(scenario, days, o->full);
     if (!o->out.empty()) {
       write_file(o->out, results.dump(1) + "\n");
@@ -292,8 +292,8 @@
     } else {
       print_days(days);
     }
-    for (const DayResult& d : days) {
-      if (!d.clean()) {
+    for (const RunResult& d : days) {
+      if (!d.is_clean()) {
         result = kNo;
       }
     }
@@ -397,18 +397,18 @@
       }
       const auto days = play(scenario, *o, name);
       double sums[5] = {};
-      std::uint64_t breaches = 0;
-      for (const DayResult& d : days) {
+      std::uint64_t violations = 0;
+      for (const RunResult& d : days) {
         const double values[5] = {d.service(), d.in_time(), d.worst_window(), d.worst_class(),
                                   d.wasted()};
         for (int i = 0; i < 5; ++i) {
           sums[i] += values[i] / static_cast<double>(days.size());
         }
-        for (std::uint64_t n : d.breaches) {
-          breaches += n;
+        for (std::uint64_t n : d.violations) {
+          violations += n;
         }
       }
-      if (breaches > 0) {
+      if (violations > 0) {
         result = kNo;
       }
       if (o->json) {
@@ -418,10 +418,10 @@
                        {"worst_window", sums[2]},
                        {"worst_class", sums[3]},
                        {"wasted", sums[4]},
-                       {"breaches", breaches}});
+                       {"breaches", violations}});
       } else {
         std::printf("%s\t%.4f\t%.4f\t%.4f\t%.4f\t%.4f\t%llu\n", name.c_str(), sums[0], sums[1],
-                    sums[2], sums[3], sums[4], static_cast<unsigned long long>(breaches));
+                    sums[2], sums[3], sums[4], static_cast<unsigned long long>(violations));
       }
       std::fflush(stdout);
     }
--- a/src/lab/cli/commands.hpp
+++ b/src/lab/cli/commands.hpp
@@ -47,6 +47,6 @@
 
 // What commands share.
 void write_file(const std::string& path, const std::string& text);  // throws BadInput
-void print_days(const std::vector<DayResult>& days);  // a table; broken rules with their seeds
+void print_days(const std::vector<RunResult>& days);  // a table; broken rules with their seeds
 
 }  // namespace gateway::lab
--- a/src/lab/cli/commands_live.cpp
+++ b/src/lab/cli/commands_live.cpp
@@ -200,8 +200,8 @@
       std::printf("OUT OF BOUNDS: %s\n", miss.c_str());
     }
   }
-  return live.run.clean() && !live.is_void && live.gateways_died == 0 && missed.empty() ? kYes
-                                                                                        : kNo;
+  return live.run.is_clean() && !live.is_void && live.gateways_died == 0 && missed.empty() ? kYes
+                                                                                           : kNo;
 }
 
 }  // namespace
--- a/src/lab/live/live_run.cpp
+++ b/src/lab/live/live_run.cpp
@@ -117,29 +117,30 @@
     if (gateway == UINT32_MAX) {
       return;
     }
-    checker_.sent(now, id, gateway, host);
+    checker_.attempt_sent(now, id, gateway, host);
     if (begin_ > Time{}) {
       arrivals_.add_request(to_seconds(now - begin_), host, fleet_.active_requests(host));
     }
     if (host < fleet_.topology().hosts.size() &&
         fleet_.topology().hosts[host].zone != gateways_[gateway].zone) {
-      ++metrics_.crossings;
+      ++metrics_.cross_zone_attempts;
     }
   }
   void on_accepted(Time now, std::uint64_t id, std::uint64_t attempt, std::uint32_t host) override {
     const HostPlacement& place = fleet_.topology().hosts[host % fleet_.topology().hosts.size()];
-    checker_.reached(now, id, attempt, host, place.zone, place.cell, now);
+    checker_.attempt_received(now, id, attempt, host, place.zone, place.cell, now);
   }
   void on_not_run(std::uint64_t id, std::uint64_t attempt) override {
-    checker_.disproved(id, attempt);
+    checker_.attempt_not_executed(id, attempt);
   }
-  void on_finished(Time now, std::uint64_t id) override { checker_.settled(now, id); }
+  void on_finished(Time now, std::uint64_t id) override { checker_.attempt_ended(now, id); }
   void on_endpoint_sent(Time now, std::uint32_t gateway, std::uint32_t host,
                         load_balancer::EndpointState state) override {
-    checker_.told(now, gateway, host, state);
+    checker_.endpoint_announced(now, gateway, host, state);
   }
   void on_collapsed(Time now, std::uint32_t host, const Collapse& collapse) override {
-    checker_.fell(now, host, collapse.informed_share, collapse.work_sent, collapse.work_limit);
+    checker_.cold_host_collapsed(now, host, collapse.informed_share, collapse.work_sent,
+                                 collapse.work_limit);
   }
   std::uint32_t gateway_of(std::uint64_t id) override {
     const auto it = sent_to_.find(id);
@@ -384,7 +385,7 @@
   Gateway& g = gateways_[number];
   if (move.what == RigMove::What::pause) {
     g.resumed_at = clock_.now();
-    checker_.resumed(g.resumed_at, number, g.paused_at);
+    checker_.gateway_resumed(g.resumed_at, number, g.paused_at);
     return g.process->kill(SIGCONT);
   }
   if (move.what == RigMove::What::stop && g.process->running()) {
@@ -583,9 +584,9 @@
       return;
     }
     if (was_paused(*request)) {
-      checker_.excused(request->id);
+      checker_.release(request->id);
     } else {
-      checker_.client_gave_up(clock_.now(), request->id);
+      checker_.client_timed_out(clock_.now(), request->id);
     }
     end_request(request, RequestOutcome::unanswered, {});
   });
@@ -594,7 +595,7 @@
       if (request->finished) {
         return;
       }
-      checker_.excused(request->id);
+      checker_.release(request->id);
       end_request(request, RequestOutcome::unanswered, {});
     });
   }
@@ -620,8 +621,9 @@
           return;
         }
         request->fully_written = true;
-        checker_.taken(clock_.now(), request->id, clients_->arrival(request->operation).cls,
-                       request->gateway, request->deadline);
+        checker_.request_received(clock_.now(), request->id,
+                                  clients_->arrival(request->operation).cls, request->gateway,
+                                  request->deadline);
       },
       [this, request, reused](const Exchange::Outcome& o, std::unique_ptr<tcp::socket> kept) {
         if (kept) {
@@ -633,10 +635,10 @@
         if (o.answered) {
           const bool served = o.status == 200 && o.body.rfind("done ", 0) == 0;
           const bool refused = o.status == 429 || o.status == 503;
-          checker_.answered(clock_.now(), request->id,
-                            served    ? Answer::served
-                            : refused ? Answer::refused
-                                      : Answer::failed);
+          checker_.response_sent(clock_.now(), request->id,
+                                 served    ? ResponseKind::served
+                                 : refused ? ResponseKind::refused
+                                           : ResponseKind::failed);
           Duration wait{};
           if (refused && !o.retry_after.empty()) {
             wait = from_seconds(std::strtod(o.retry_after.c_str(), nullptr));
@@ -650,17 +652,17 @@
         // The gateway may close an idle connection while this request is on its way; the request is
         // then sent once more, on a new connection.
         if (reused && o.untouched && !request->resent) {
-          checker_.excused(request->id);
+          checker_.release(request->id);
           checker_.forget(request->id);
           sent_to_.erase(request->id);
           request->resent = true;
           return send_request(request);
         }
         if (!request->fully_written || !o.connected || gateways_[request->gateway].killed) {
-          checker_.excused(request->id);
+          checker_.release(request->id);
         } else {
-          checker_.client_gave_up(clock_.now(),
-                                  request->id);  // a live gateway closed the connection: lost
+          checker_.client_timed_out(clock_.now(),
+                                    request->id);  // a live gateway closed the connection: lost
         }
         end_request(request, o.written ? RequestOutcome::failed : RequestOutcome::unreachable, {});
       });
@@ -740,7 +742,7 @@
   std::uint64_t refused = 0;
   for (const ClassTally& c : metrics_.classes) {
     asked += c.asked, earned += c.earned;
-    for (std::uint32_t r : c.refusals) {
+    for (std::uint32_t r : c.rejections) {
       refused += r;
     }
   }
@@ -757,7 +759,7 @@
     connections_sum_ += static_cast<double>(fleet_.connections(h));
     connections_count_ += 1;
   }
-  metrics_.cutoffs.push_back(0);
+  metrics_.shedding_thresholds.push_back(0);
   if (options_.show_each_second) {
     const double share =
         asked - previous_asked_ > 0 ? (earned - previous_earned_) / (asked - previous_asked_) : 1;
@@ -822,7 +824,7 @@
   schedule_rig();
   schedule_next_arrival();
   const Time end = begin_ + from_seconds(s_.length_s);
-  LiveResult result(DayResult{s_.name, seed_, RunMetrics(s_), {}, {}, 0, 0});
+  LiveResult result(RunResult{s_.name, seed_, RunMetrics(s_), {}, {}, 0, 0});
   while (!stopped() && !failed_ && clock_.now() < end + kMaxDrainTime &&
          !(traffic_over_ && clients_->open_operations() == 0 && clock_.now() >= end)) {
     io_.run_for(std::chrono::milliseconds(20));
@@ -852,11 +854,14 @@
   // A live run does not see which part of the work was useful.
   metrics_.work_done = metrics_.work_useful = fleet_.work_done();
   metrics_.troubles = fleet_.fault_schedule().intervals;
-  result.run = DayResult{s_.name,          seed_,
-                         metrics_,         checker_.counts(),
-                         checker_.first(), to_seconds(clock_.now() - begin_),
+  result.run = RunResult{s_.name,
+                         seed_,
+                         metrics_,
+                         checker_.counts(),
+                         checker_.first_violations(),
+                         to_seconds(clock_.now() - begin_),
                          requests_};
-  for (Breach& b : result.run.first_breaches) {
+  for (Violation& b : result.run.first_violations) {
     b.at -= begin_;
   }
   compute_spread(result);
--- a/src/lab/live/live_run.hpp
+++ b/src/lab/live/live_run.hpp
@@ -37,8 +37,8 @@
 };
 
 struct LiveResult {
-  explicit LiveResult(DayResult r) : run(std::move(r)) {}
-  DayResult run;
+  explicit LiveResult(RunResult r) : run(std::move(r)) {}
+  RunResult run;
   bool is_void = false;  // the laboratory's own tasks were delayed: the figures are not valid
   std::string void_reason;
   double max_delay_ms = 0;    // longest delay of a task of the laboratory
--- a/src/lab/model/clients.cpp
+++ b/src/lab/model/clients.cpp
@@ -26,14 +26,14 @@
   w.share = share_;
   w.backoff = backoff_;
   w.worth = c.priority_weight * first.work;  // worth counts for each unit of work; BRIEF 4.2
-  tally_.wish(first.cls, w.worth, first.at - start_);
+  tally_.add_operation(first.cls, w.worth, first.at - start_);
   return id;
 }
 
 Clients::RequestPlan Clients::begin_request(Time now, OperationId id) {
   Wish& w = wishes_[id];
   ++w.tries;
-  ++tally_.classes[w.first.cls].tries;
+  ++tally_.classes[w.first.cls].requests;
   const Duration whole = from_millis(scenario_.classes[w.first.cls].client_timeout_ms);
   RequestPlan plan;
   plan.timeout =
@@ -65,7 +65,7 @@
   Wish& w = wishes_[id];
   const ClassSpec& c = scenario_.classes[w.first.cls];
   if (end == RequestOutcome::refused) {
-    tally_.refusal(w.first.cls, now - start_);
+    tally_.add_rejection(w.first.cls, now - start_);
   }
   if (may_come_again(w, end)) {
     double wait = w.backoff * static_cast<double>(1u << std::min(w.tries - 1, 10u)) *
@@ -89,7 +89,7 @@
   } else if (end == RequestOutcome::unanswered || end == RequestOutcome::unreachable) {
     fate = RequestResult::unanswered;
   }
-  tally_.fate(w.first.cls, w.worth, w.first.at - start_, fate, c.late_value_fraction, taken);
+  tally_.add_result(w.first.cls, w.worth, w.first.at - start_, fate, c.late_value_fraction, taken);
   free_.push_back(id);
   --open_;
   return std::nullopt;
--- a/src/lab/simulation/experiment.cpp
+++ b/src/lab/simulation/experiment.cpp
@@ -14,10 +14,10 @@
 
 namespace gateway::lab {
 
-std::vector<DayResult> simulate_runs(const Scenario& scenario, std::uint64_t first, unsigned seeds,
+std::vector<RunResult> simulate_runs(const Scenario& scenario, std::uint64_t first, unsigned seeds,
                                      unsigned jobs, const PolicyMaker& policy,
                                      const Progress& progress) {
-  std::vector<std::optional<DayResult>> days(seeds);
+  std::vector<std::optional<RunResult>> days(seeds);
   std::vector<std::atomic<unsigned>> shares(seeds);
   std::atomic<unsigned> next{0};
   std::atomic<unsigned> running{0};
@@ -56,7 +56,7 @@
       std::rethrow_exception(failure);
     }
   }
-  std::vector<DayResult> results;
+  std::vector<RunResult> results;
   results.reserve(days.size());
   for (auto& day : days) {
     results.push_back(std::move(*day));
--- a/src/lab/simulation/experiment.hpp
+++ b/src/lab/simulation/experiment.hpp
@@ -18,7 +18,7 @@
 // One day for each of `seeds` seeds from `first` on, `jobs` at a time. Results stand in order of
 // seed and do not depend on `jobs`. An exception of one day (a policy that throws) ends the whole
 // and is thrown here.
-std::vector<DayResult> simulate_runs(const Scenario& scenario, std::uint64_t first, unsigned seeds,
+std::vector<RunResult> simulate_runs(const Scenario& scenario, std::uint64_t first, unsigned seeds,
                                      unsigned jobs, const PolicyMaker& policy,
                                      const Progress& progress = {});
 
--- a/src/lab/simulation/fleet_simulation.cpp
+++ b/src/lab/simulation/fleet_simulation.cpp
@@ -188,7 +188,7 @@
         network_random_(seed, "packets"),
         edge_random_(seed, "front") {}
 
-  DayResult run(std::atomic<unsigned>* progress);
+  RunResult run(std::atomic<unsigned>* progress);
 
  private:
   void set_up();
@@ -226,7 +226,7 @@
   void execute(std::uint32_t, const load_balancer::ForgetHost&) {}  // hosts are found by address
   void execute(std::uint32_t, const load_balancer::LogMessage&) {}
   Request* find_request(load_balancer::RequestId id);
-  void finish_request(std::uint32_t gateway, load_balancer::RequestId id, Answer answer,
+  void finish_request(std::uint32_t gateway, load_balancer::RequestId id, ResponseKind answer,
                       RequestOutcome outcome, Duration retry_after);
   void send_attempt(std::uint32_t gateway, const load_balancer::SendAttempt& action);
   void finish_attempt(std::uint32_t slot, AttemptOutcome outcome);
@@ -306,7 +306,7 @@
   schedule_next_operation();
 }
 
-DayResult FleetSimulation::run(std::atomic<unsigned>* progress) {
+RunResult FleetSimulation::run(std::atomic<unsigned>* progress) {
   set_up();
   const Time end = traffic_start_ + from_seconds(scenario_.length_s);
   while (event_queue_.next_at() < end + kMaxTimeAfterTraffic) {
@@ -326,14 +326,14 @@
   }
   metrics_.list_lines = discovery_.lines();
   metrics_.troubles = fault_schedule_.intervals;
-  DayResult result{scenario_.name,
+  RunResult result{scenario_.name,
                    seed_,
                    metrics_,
                    invariant_checker_.counts(),
-                   invariant_checker_.first(),
+                   invariant_checker_.first_violations(),
                    to_seconds(now_ - kSimulationStart),
                    event_count_};
-  for (Breach& b : result.first_breaches) {
+  for (Violation& b : result.first_violations) {
     b.at -= traffic_start_;
   }
   return result;
@@ -398,7 +398,7 @@
         return;
       }
       if (r->at_gateway && !r->ended) {
-        invariant_checker_.client_gave_up(now_, request_key(e.index));
+        invariant_checker_.client_timed_out(now_, request_key(e.index));
         r->ended = true;
         const std::uint32_t g = r->gateway;
         finish_client_request(e.index, RequestOutcome::unanswered);
@@ -415,7 +415,7 @@
       }
       const std::uint32_t g = r->gateway;
       const bool reached_gateway = r->at_gateway;
-      invariant_checker_.excused(request_key(e.index));
+      invariant_checker_.release(request_key(e.index));
       r->ended = true;
       finish_client_request(e.index, RequestOutcome::unanswered);
       if (!reached_gateway) {
@@ -527,7 +527,7 @@
   r.at_gateway = true;
   r.epoch = g.epoch;
   const Arrival& arrival = r.arrival;
-  invariant_checker_.taken(now_, request_key(slot), arrival.cls, r.gateway, r.deadline);
+  invariant_checker_.request_received(now_, request_key(slot), arrival.cls, r.gateway, r.deadline);
   load_balancer::Request q;
   q.id = request_key(slot);
   q.class_index = arrival.cls;
@@ -594,7 +594,7 @@
   std::vector<load_balancer::Endpoint> list;
   for (const auto& [host, listed] : g.known_hosts) {
     list.push_back(endpoint_of(listed));
-    invariant_checker_.told(now_, number, host, listed.state);
+    invariant_checker_.endpoint_announced(now_, number, host, listed.state);
   }
   g.policy->on_endpoint_update(now_, EndpointUpdateKind::restored, list);
   execute_actions(number);
@@ -631,7 +631,7 @@
     if (!r.live || !r.at_gateway || r.gateway != number || r.epoch + 1 != g.epoch) {
       continue;
     }
-    invariant_checker_.excused(request_key(slot));
+    invariant_checker_.release(request_key(slot));
     if (!r.ended) {
       respond_to_client(slot, RequestOutcome::failed, {});  // the client's connection is reset
     }
@@ -667,14 +667,14 @@
   }
   if (is_snapshot) {
     for (const auto& [host, listed] : g.known_hosts) {
-      invariant_checker_.told(now_, number, host, EndpointState::removed);
+      invariant_checker_.endpoint_announced(now_, number, host, EndpointState::removed);
     }
     g.known_hosts.clear();
   }
   std::vector<load_balancer::Endpoint> list;
   for (const ListedHost& listed : entries) {
     list.push_back(endpoint_of(listed));
-    invariant_checker_.told(now_, number, listed.host, listed.state);
+    invariant_checker_.endpoint_announced(now_, number, listed.host, listed.state);
     if (listed.state == EndpointState::removed) {
       g.known_hosts.erase(listed.host);
     } else {
@@ -701,13 +701,14 @@
 }
 
 void FleetSimulation::finish_request(std::uint32_t number, load_balancer::RequestId id,
-                                     Answer answer, RequestOutcome outcome, Duration retry_after) {
+                                     ResponseKind answer, RequestOutcome outcome,
+                                     Duration retry_after) {
   const Request* request = find_request(id);
   if (!request || request->gateway != number) {
     return;
   }
   const auto slot = static_cast<std::uint32_t>(id);
-  invariant_checker_.answered(now_, id, answer);
+  invariant_checker_.response_sent(now_, id, answer);
   if (!request->ended) {
     respond_to_client(slot, outcome, retry_after);
   }
@@ -721,12 +722,12 @@
 }
 
 void FleetSimulation::execute(std::uint32_t number, const load_balancer::RejectRequest& action) {
-  finish_request(number, action.request, Answer::refused, RequestOutcome::refused,
+  finish_request(number, action.request, ResponseKind::refused, RequestOutcome::refused,
                  action.retry_after);
 }
 
 void FleetSimulation::execute(std::uint32_t number, const load_balancer::FailRequest& action) {
-  finish_request(number, action.request, Answer::failed, RequestOutcome::failed, Duration{});
+  finish_request(number, action.request, ResponseKind::failed, RequestOutcome::failed, Duration{});
 }
 
 void FleetSimulation::execute(std::uint32_t, const load_balancer::CancelAttempt& action) {
@@ -803,9 +804,9 @@
   ++attempts_in_flight_;
   ++metrics_.attempts;
   if (hosts_[host].zone != g.zone) {
-    ++metrics_.crossings;
+    ++metrics_.cross_zone_attempts;
   }
-  invariant_checker_.sent(now_, action.request, number, host);
+  invariant_checker_.attempt_sent(now_, action.request, number, host);
 
   const Duration delay = delay_to_host(number, host);
   const Time limit =
@@ -865,16 +866,16 @@
   --r.in_flight;
   const std::uint64_t key = request_key(a.request);
   if (outcome == AttemptOutcome::rejected_by_host || outcome == AttemptOutcome::connect_failed) {
-    invariant_checker_.disproved(key, a.number);
+    invariant_checker_.attempt_not_executed(key, a.number);
   }
-  invariant_checker_.settled(now_, key);
+  invariant_checker_.attempt_ended(now_, key);
   load_balancer::AttemptResult result;
   result.request = key;
   result.attempt = a.number;
   result.outcome = outcome;
   result.elapsed = now_ - a.sent_at;
   if (outcome == AttemptOutcome::success && !r.ended) {
-    invariant_checker_.answered(now_, key, Answer::served);
+    invariant_checker_.response_sent(now_, key, ResponseKind::served);
     metrics_.work_useful += a.work;
     respond_to_client(a.request, RequestOutcome::served, {});
   }
@@ -926,7 +927,7 @@
   const std::uint64_t key = request_key(a.request);
   const auto mark_accepted = [&] {
     a.reached_host = true;
-    invariant_checker_.reached(now_, key, a.number, a.host, h.zone, h.cell, a.sent_at);
+    invariant_checker_.attempt_received(now_, key, a.number, a.host, h.zone, h.cell, a.sent_at);
   };
   const Condition& c = h.model.condition();
   if (h.random.chance(c.reset_share)) {
@@ -951,7 +952,8 @@
   const Admission admission = h.model.submit(now_, job, finished_jobs_);
   if (was_running && h.model.collapse()) {
     const Collapse& f = *h.model.collapse();
-    invariant_checker_.fell(now_, a.host, f.informed_share, f.work_sent, f.work_limit);
+    invariant_checker_.cold_host_collapsed(now_, a.host, f.informed_share, f.work_sent,
+                                           f.work_limit);
     return stop_host(a.host);
   }
   if (admission == Admission::rejected) {
@@ -1174,7 +1176,8 @@
   if (now_ <= traffic_start_ || now_ > traffic_start_ + from_seconds(scenario_.length_s)) {
     return;
   }
-  metrics_.cutoffs.push_back(alive > 0 ? threshold_sum / static_cast<double>(alive) : 0);
+  metrics_.shedding_thresholds.push_back(alive > 0 ? threshold_sum / static_cast<double>(alive)
+                                                   : 0);
   for (std::uint32_t h = 0; h < hosts_.size(); ++h) {
     const HostModel& m = hosts_[h].model;
     metrics_.load[h].push_back(m.running() && !hosts_[h].unreachable
@@ -1186,7 +1189,7 @@
 
 }  // namespace
 
-DayResult simulate_run(const Scenario& scenario, std::uint64_t seed, const PolicyMaker& policy,
+RunResult simulate_run(const Scenario& scenario, std::uint64_t seed, const PolicyMaker& policy,
                        std::atomic<unsigned>* progress) {
   return FleetSimulation(scenario, seed, policy).run(progress);
 }
--- a/src/lab/simulation/fleet_simulation.hpp
+++ b/src/lab/simulation/fleet_simulation.hpp
@@ -14,7 +14,7 @@
 
 // `progress`, if given, is set to the simulated part of the scenario's length, in thousandths.
 // Throws std::logic_error when the policy sends to an unknown host, and what the policy throws.
-DayResult simulate_run(const Scenario& scenario, std::uint64_t seed, const PolicyMaker& policy,
+RunResult simulate_run(const Scenario& scenario, std::uint64_t seed, const PolicyMaker& policy,
                        std::atomic<unsigned>* progress = nullptr);
 
 }  // namespace gateway::lab
--- a/tests/lab/faults_test.cpp
+++ b/tests/lab/faults_test.cpp
@@ -1,4 +1,5 @@
-// The fault proxy between two parties on loopback, and the spread figures counted at hosts.
+// The fault proxy and the datagram mesh on loopback, the text form of faults, rig files, and the
+// request spread over hosts.
 #include <gtest/gtest.h>
 
 #include <boost/asio/post.hpp>
@@ -23,8 +24,8 @@
 using asio::ip::tcp;
 using namespace std::chrono_literals;
 
-// An echo party behind the proxy; a client in a thread of its own talks through it.
-struct Through : ::testing::Test {
+// An echo server behind the proxy; a client in a thread of its own connects through the proxy.
+struct FaultProxyTest : ::testing::Test {
   asio::io_context io;
   tcp::acceptor echo{io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)};
   std::vector<std::string> log;
@@ -72,7 +73,8 @@
     return {ec, std::chrono::duration_cast<std::chrono::milliseconds>(
                     std::chrono::steady_clock::now() - begin)};
   }
-  // The proxy belongs to the loop's thread: a fault is set there, and the client waits for it.
+  // The proxy is not thread-safe: the fault is set in the event loop's thread, and the caller
+  // waits.
   void set(const Fault& fault) {
     std::promise<void> done;
     asio::post(io, [&] {
@@ -86,8 +88,8 @@
     asio::post(io, [&] { count.set_value(proxy.counts().bytes); });
     return count.get_future().get();
   }
-  // Runs `client` in a thread while the loop turns. One that is still held after 5 s fails the
-  // whole test here: nothing else could end its reads.
+  // Runs `client` in a thread while the event loop runs. A client that still blocks after 5 s ends
+  // the test program, because nothing else can end its reads.
   template <class F>
   void while_running(F client) {
     std::atomic<bool> done{false};
@@ -100,14 +102,14 @@
       io.run_for(10ms);
     }
     if (!done) {
-      std::fprintf(stderr, "the client was held for 5 s\n");
+      std::fprintf(stderr, "the client blocked for 5 s\n");
       std::_Exit(1);
     }
     t.join();
   }
 };
 
-TEST_F(Through, PassesThenDelaysThenCutsThenResetsAndLogsEachFault) {
+TEST_F(FaultProxyTest, AppliesAndLogsEachFault) {
   serve_echo();
   while_running([&] {
     asio::io_context mine;
@@ -115,11 +117,11 @@
     s.connect(proxy.address());
     EXPECT_FALSE(ping(s).first);
     set(read_fault("delay=120+30"));
-    const auto [error, took] = ping(s);  // one piece each way
+    const auto [error, took] = ping(s);  // one delay each way
     EXPECT_FALSE(error);
     EXPECT_GE(took, 240ms);
     set(read_fault("cut"));
-    EXPECT_TRUE(ping(s).first);  // the open connection is closed under it
+    EXPECT_TRUE(ping(s).first);  // closes the open connection
     tcp::socket again(mine);
     again.connect(proxy.address());
     EXPECT_TRUE(ping(again).first);
@@ -133,20 +135,20 @@
   EXPECT_EQ(log, (std::vector<std::string>{"delay=120+30", "cut", "pass", "reset"}));
   EXPECT_EQ(proxy.counts().reset, 1u);
   EXPECT_GE(proxy.counts().refused, 1u);
-  EXPECT_EQ(proxy.fault(), Fault{});  // a reset is once
+  EXPECT_EQ(proxy.fault(), Fault{});  // a reset applies once
 }
 
-TEST_F(Through, ASilenceHoldsBackOneWayAndNothingIsLostOnceItIsOver) {
+TEST_F(FaultProxyTest, SilenceDelaysOneDirectionWithoutLoss) {
   serve_echo();
   while_running([&] {
     asio::io_context mine;
     tcp::socket s(mine);
     s.connect(proxy.address());
     EXPECT_FALSE(ping(s).first);
-    set(read_fault("silent-back"));  // the answer is held, the request is not
+    set(read_fault("silent-back"));  // delays the response, not the request
     asio::write(s, asio::buffer(std::string("held")));
     while (bytes() < 16) {
-      std::this_thread::yield();  // it has come back as far as the proxy
+      std::this_thread::yield();  // until the echo has reached the proxy
     }
     EXPECT_EQ(s.available(), 0u);
     set({});
@@ -155,11 +157,11 @@
     asio::read(s, asio::buffer(back), ec);
     EXPECT_FALSE(ec);
     EXPECT_EQ(std::string(back.data(), 4), "held");
-    EXPECT_FALSE(ping(s).first);  // and the link goes on
+    EXPECT_FALSE(ping(s).first);  // the connection remains usable
   });
 }
 
-TEST_F(Through, ASlowLinkTakesItsTimeForWhatItCarries) {
+TEST_F(FaultProxyTest, RateLimitDelaysDataByItsSize) {
   serve_echo();
   while_running([&] {
     asio::io_context mine;
@@ -178,7 +180,7 @@
   });
 }
 
-TEST(FaultText, IsReadBackAndSaysWhatIsWrong) {
+TEST(FaultText, IsReadBackAsWrittenAndRejectsBadText) {
   for (const char* text :
        {"pass", "cut", "reset", "silent", "silent-there", "delay=50+20,loss=0.1,copy=0.05",
         "spoil=0.01,rate=64", "silent-back,delay=5"}) {
@@ -193,9 +195,9 @@
   EXPECT_EQ(text_of(both), "silent-there,delay=15+5,loss=0.75");
 }
 
-// Three parties on a mesh; what each receives is counted by who sent it.
-struct Mesh : ::testing::Test {
-  struct Party {
+// Three members on a mesh; each records the sender's port and the text of every datagram.
+struct DatagramMeshTest : ::testing::Test {
+  struct Member {
     asio::ip::udp::socket socket;
     asio::ip::udp::endpoint from;
     std::array<char, 256> buffer{};
@@ -203,17 +205,17 @@
   };
   asio::io_context io;
   DatagramMesh mesh{io, 11};
-  std::vector<std::unique_ptr<Party>> parties;
+  std::vector<std::unique_ptr<Member>> members;
 
   void SetUp() override {
     for (int i = 0; i < 3; ++i) {
-      parties.push_back(
-          std::make_unique<Party>(Party{{io, {asio::ip::address_v4::loopback(), 0}}, {}, {}, {}}));
-      mesh.add(parties.back()->socket.local_endpoint());
-      receive(*parties.back());
+      members.push_back(std::make_unique<Member>(
+          Member{{io, {asio::ip::address_v4::loopback(), 0}}, {}, {}, {}}));
+      mesh.add(members.back()->socket.local_endpoint());
+      receive(*members.back());
     }
   }
-  void receive(Party& p) {
+  void receive(Member& p) {
     p.socket.async_receive_from(
         asio::buffer(p.buffer), p.from, [this, &p](boost::system::error_code ec, std::size_t n) {
           if (ec) {
@@ -224,9 +226,9 @@
         });
   }
   void send(std::size_t from, std::size_t to, const std::string& text) {
-    parties[from]->socket.send_to(asio::buffer(text), mesh.address(to));
+    members[from]->socket.send_to(asio::buffer(text), mesh.address(to));
   }
-  // Until `done`, 3 s at most.
+  // Runs the event loop until `done`, 3 s at most.
   template <class Done>
   void run_until(Done done) {
     const auto until = std::chrono::steady_clock::now() + 3s;
@@ -236,32 +238,32 @@
   }
 };
 
-TEST_F(Mesh, KnowsSendersByTheirPublicAddressAndCutsOneWayOnly) {
+TEST_F(DatagramMeshTest, ShowsSendersByMeshAddressAndSilencesOneDirectionOnly) {
   send(0, 1, "hello");
-  run_until([&] { return parties[1]->got.size() == 1; });
-  ASSERT_EQ(parties[1]->got.size(), 1u);
-  EXPECT_EQ(parties[1]->got[0].first, mesh.address(0).port());
+  run_until([&] { return members[1]->got.size() == 1; });
+  ASSERT_EQ(members[1]->got.size(), 1u);
+  EXPECT_EQ(members[1]->got[0].first, mesh.address(0).port());
   mesh.set_fault(0, 1, read_fault("silent"));
   send(0, 1, "lost");
   send(1, 0, "there");
   send(0, 2, "other");
-  run_until([&] { return parties[0]->got.size() == 1 && parties[2]->got.size() == 1; });
-  EXPECT_EQ(parties[0]->got.size(), 1u);
-  EXPECT_EQ(parties[2]->got.size(), 1u);
+  run_until([&] { return members[0]->got.size() == 1 && members[2]->got.size() == 1; });
+  EXPECT_EQ(members[0]->got.size(), 1u);
+  EXPECT_EQ(members[2]->got.size(), 1u);
   EXPECT_EQ(mesh.counts(0).lost, 1u);
   mesh.set_fault(0, 1, {});
   send(0, 1, "again");
-  run_until([&] { return parties[1]->got.size() == 2; });
-  ASSERT_EQ(parties[1]->got.size(), 2u);
-  EXPECT_EQ(parties[1]->got[1].second, "again");
+  run_until([&] { return members[1]->got.size() == 2; });
+  ASSERT_EQ(members[1]->got.size(), 2u);
+  EXPECT_EQ(members[1]->got[1].second, "again");
   asio::ip::udp::socket stranger(io, {asio::ip::address_v4::loopback(), 0});
   stranger.send_to(asio::buffer(std::string("who")), mesh.address(1));
   run_until([&] { return mesh.unknown_senders() == 1; });
   EXPECT_EQ(mesh.unknown_senders(), 1u);
-  EXPECT_EQ(parties[1]->got.size(), 2u);
+  EXPECT_EQ(members[1]->got.size(), 2u);
 }
 
-TEST_F(Mesh, LosesCopiesSpoilsAndDelaysAsItIsTold) {
+TEST_F(DatagramMeshTest, LosesDuplicatesCorruptsAndDelaysDatagrams) {
   mesh.set_fault(0, 1, read_fault("loss=0.3,copy=0.2"));
   mesh.set_fault(0, 2, read_fault("spoil=1,delay=20+20"));
   const auto begin = std::chrono::steady_clock::now();
@@ -269,17 +271,17 @@
     send(0, 1, "datagram " + std::to_string(i));
   }
   send(0, 2, "spoilt");
-  run_until([&] { return mesh.counts(0).datagrams == 201 && parties[2]->got.size() == 1; });
+  run_until([&] { return mesh.counts(0).datagrams == 201 && members[2]->got.size() == 1; });
   const auto& c = mesh.counts(0);
-  EXPECT_EQ(parties[1]->got.size() + c.lost, 200 + c.duplicated);
+  EXPECT_EQ(members[1]->got.size() + c.lost, 200 + c.duplicated);
   EXPECT_NEAR(static_cast<double>(c.lost), 60, 25);
   EXPECT_GT(c.duplicated, 10u);
-  ASSERT_EQ(parties[2]->got.size(), 1u);
-  EXPECT_NE(parties[2]->got[0].second, "spoilt");
+  ASSERT_EQ(members[2]->got.size(), 1u);
+  EXPECT_NE(members[2]->got[0].second, "spoilt");
   EXPECT_GE(std::chrono::steady_clock::now() - begin, 20ms);
 }
 
-TEST(Spread, TellsAnEvenFleetFromAHerdAndAnIdleHost) {
+TEST(Spread, DistinguishesEvenLoadFromAHerdAndAnIdleHost) {
   const auto counted = [](HostArrivals::Table requests, HostArrivals::Table peaks) {
     HostArrivals landed;
     landed.requests = std::move(requests);
@@ -294,7 +296,7 @@
   EXPECT_EQ(e.idle, 0u);
   EXPECT_DOUBLE_EQ(e.herd_peak, 1);
 
-  // one host takes nearly all, three are idle
+  // one host receives nearly all requests, three count as idle
   const HostArrivals herd = counted({{37, 1, 1, 1}}, {{12, 1, 1, 2}});
   const Spread h = spread_of(herd, 0, 1);
   EXPECT_DOUBLE_EQ(h.mean_requests, 10);
@@ -303,10 +305,10 @@
   EXPECT_DOUBLE_EQ(h.herd_peak, 3);
   EXPECT_NEAR(h.variation, 1.559, 0.001);
 
-  const Spread some = spread_of(herd, 0, 1, {1, 2});  // the chosen hosts alone
+  const Spread some = spread_of(herd, 0, 1, {1, 2});  // the selected hosts only
   EXPECT_DOUBLE_EQ(some.max_over_mean, 1);
   EXPECT_EQ(spread_of(herd, 1, 1).mean_requests, 0);  // an empty window
-  EXPECT_EQ(spread_of(herd, 0, 1, {0, 9}).idle, 1u);  // one that nothing ever reached
+  EXPECT_EQ(spread_of(herd, 0, 1, {0, 9}).idle, 1u);  // a host without any request
 
   HostArrivals counting;
   counting.slot_s = 0.1;
@@ -320,7 +322,7 @@
   EXPECT_DOUBLE_EQ(spread_of(counting, 1, 2, {0, 1}).mean_requests, 0.5);
 }
 
-TEST(Pickout, MeansWhatItSays) {
+TEST(IndexSet, ParsesListsRangesAndRemaindersAndRejectsBadText) {
   EXPECT_EQ(IndexSet("all").below(3), (std::vector<std::uint32_t>{0, 1, 2}));
   EXPECT_EQ(IndexSet("3:1").below(8), (std::vector<std::uint32_t>{1, 4, 7}));
   EXPECT_EQ(IndexSet("2-4,7").below(6), (std::vector<std::uint32_t>{2, 3, 4}));
@@ -332,7 +334,7 @@
   }
 }
 
-TEST(RigPlan, SaysEveryMistakeWithItsPlace) {
+TEST(RigPlan, ReportsEachErrorWithItsField) {
   const RigReading good =
       read_rig_plan(nlohmann::json::parse(R"({"scenario": "x.json", "set": {"gateways.count": 20},
     "faults": [{"from_s": 2, "for_s": 6, "gateways": "3:0", "to": "hosts", "hosts": "0-4",
--- a/tests/lab/lab_test.cpp
+++ b/tests/lab/lab_test.cpp
@@ -1,5 +1,6 @@
-// The laboratory: its hosts, its referee by policies that break a rule on purpose, and that a day
-// repeats.
+// The laboratory: the host model, the discovery model, the invariant checker (by policies that
+// break a rule on purpose), the repeatability of runs, scenario errors and the comparison of
+// results.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -24,7 +25,7 @@
 using load_balancer::RejectRequest;
 using load_balancer::SendAttempt;
 
-Scenario read(const char* text) {
+Scenario parse_scenario(const char* text) {
   ScenarioReading reading = read_scenario(nlohmann::json::parse(text));
   for (const ValidationError& m : reading.mistakes) {
     ADD_FAILURE() << m.where << ": " << m.what;
@@ -32,18 +33,20 @@
   return reading.scenario;
 }
 
-// A small day with every class and some of every trouble that the test asks for.
-Scenario small_day(const std::string& troubles = "[]", const std::string& load = "0.5") {
-  return read((R"({"name": "small", "length_s": 12, "zones": [{"name": "a"}, {"name": "b"}],
+// A 12 s run with a class of each idempotency kind, 6 hosts and 2 gateways; `troubles` is the JSON
+// list of faults.
+Scenario small_scenario(const std::string& troubles = "[]", const std::string& load = "0.5") {
+  return parse_scenario(
+      (R"({"name": "small", "length_s": 12, "zones": [{"name": "a"}, {"name": "b"}],
     "gateways": {"count": 2}, "hosts": {"count": 6},
     "clients": {"load": )" +
-               load + R"(, "keys": 50, "impatient": 0.02},
+       load + R"(, "keys": 50, "impatient": 0.02},
     "classes": [{"name": "read"},
                 {"name": "put", "effect": "dedup", "group": "zone", "window_ms": 15000, "worth": 5},
                 {"name": "seal", "effect": "fragile", "worth": 9}],
     "troubles": )" +
-               troubles + "}")
-                  .c_str());
+       troubles + "}")
+          .c_str());
 }
 
 HostTraits plain_host() {
@@ -65,43 +68,43 @@
   return j;
 }
 
-// Steps a host until nothing is left to do; when each job ended.
-std::map<JobId, double> ends_of(HostModel& host) {
-  std::map<JobId, double> ends;
+// Advances a host until no event is left; returns the time in seconds at which each job ended.
+std::map<JobId, double> end_times(HostModel& host) {
+  std::map<JobId, double> times;
   std::vector<FinishedJob> ended;
   while (host.active_jobs() > 0 && host.next_event() != kNever) {
     const Time at = host.next_event();
     host.advance(at, ended);
     for (const FinishedJob& e : ended) {
-      ends[e.id] = to_seconds(at);
+      times[e.id] = to_seconds(at);
     }
     ended.clear();
   }
-  return ends;
+  return times;
 }
 
 // --- Hosts
 // ------------------------------------------------------------------------------------------------
 
-TEST(LabHost, CoresShareTheirTimeAndTheRestWaitsOrIsTurnedAway) {
+TEST(LabHost, SharesCoresAmongSlotsQueuesTheRestAndRejectsWhenTheQueueIsFull) {
   HostModel host(plain_host(), 0s, false);
   std::vector<FinishedJob> ended;
   for (JobId id = 1; id <= 6; ++id) {
     EXPECT_EQ(host.submit(0s, job(id, 1), ended), Admission::accepted);
   }
   EXPECT_EQ(host.submit(0s, job(7, 1), ended), Admission::rejected);
-  const auto ends = ends_of(host);
-  // Four share two cores: each at half speed, done at 2 s; the two that waited then have a core
+  const auto times = end_times(host);
+  // Four jobs share two cores at half speed and end at 2 s; the two queued jobs then run on a core
   // each.
   for (JobId id = 1; id <= 4; ++id) {
-    EXPECT_NEAR(ends.at(id), 2, 1e-6) << id;
+    EXPECT_NEAR(times.at(id), 2, 1e-6) << id;
   }
   for (JobId id = 5; id <= 6; ++id) {
-    EXPECT_NEAR(ends.at(id), 3, 1e-6) << id;
+    EXPECT_NEAR(times.at(id), 3, 1e-6) << id;
   }
 }
 
-TEST(LabHost, WhatIsCancelledOrExpiredMakesRoom) {
+TEST(LabHost, CancelledAndExpiredJobsFreeTheirSlots) {
   HostModel host(plain_host(), 0s, false);
   std::vector<FinishedJob> ended;
   for (JobId id = 1; id <= 4; ++id) {
@@ -111,14 +114,14 @@
   late.deadline = 500ms;
   host.submit(0s, late, ended);
   host.submit(0s, job(6, 1), ended);
-  host.cancel(1s, 1, ended);  // frees a slot when the waiting one has expired
+  host.cancel(1s, 1, ended);  // frees a slot after the deadline of the queued job 5
   ASSERT_EQ(ended.size(), 1u);
   EXPECT_EQ(ended[0].id, 5u);
   EXPECT_EQ(ended[0].outcome, FinishedJob::Outcome::expired);
-  EXPECT_EQ(ends_of(host).count(6), 1u);
+  EXPECT_EQ(end_times(host).count(6), 1u);
 }
 
-TEST(LabHost, AColdOneWarmsUpAndFallsWhenPushed) {
+TEST(LabHost, ColdHostWarmsUpAndCollapsesWhenWorkExceedsTheLoadFactor) {
   HostTraits t = plain_host();
   t.cold_share = 0.25;
   t.cold_time = 10s;
@@ -129,7 +132,7 @@
   EXPECT_NEAR(warming.capacity(10s), 2, 1e-9);
 
   t.cold_time = 1h;
-  // It bears 3 x 0.5 work a second. Just under that it stands for ever; a little over, it falls.
+  // It tolerates 3 x 0.5 s of work per second: 10 x 0.14 s is below the limit, 10 x 0.16 s above.
   for (const double work : {0.14, 0.16}) {
     HostModel host(t, 0s, true);
     std::vector<FinishedJob> ended;
@@ -145,7 +148,7 @@
   }
 }
 
-TEST(LabHost, CrowdedTooLongItStaysSlowUntilItHasRested) {
+TEST(LabHost, StaysSlowAfterCrowdingUntilTheRecoveryTimeHasPassed) {
   HostTraits t = plain_host();
   t.crowding = true;
   t.crowding_threshold = 3;
@@ -172,7 +175,7 @@
   EXPECT_FALSE(host.is_slowed());
 }
 
-TEST(LabHost, WarmKeysCostLessAndAreBounded) {
+TEST(LabHost, WarmKeysCostLessUntilTheyExpireOrAreEvicted) {
   HostTraits t = plain_host();
   t.warm_key_saving = 0.5;
   t.warm_key_ttl = 5s;
@@ -180,19 +183,19 @@
   HostModel host(t, 0s, false);
   std::vector<FinishedJob> ended;
   JobId id = 0;
-  const auto took = [&](Time at, std::uint64_t key) {
+  const auto duration_of = [&](Time at, std::uint64_t key) {
     host.submit(at, job(++id, 0.1, key), ended);
-    return ends_of(host).at(id) - to_seconds(at);
+    return end_times(host).at(id) - to_seconds(at);
   };
-  EXPECT_NEAR(took(1s, 7), 0.1, 1e-6);
-  EXPECT_NEAR(took(2s, 7), 0.05, 1e-6);
-  EXPECT_NEAR(took(8s, 7), 0.1, 1e-6) << "met too long ago";
-  took(9s, 8);
-  took(10s, 9);
-  EXPECT_NEAR(took(11s, 7), 0.1, 1e-6) << "forgotten for two others";
+  EXPECT_NEAR(duration_of(1s, 7), 0.1, 1e-6);
+  EXPECT_NEAR(duration_of(2s, 7), 0.05, 1e-6);
+  EXPECT_NEAR(duration_of(8s, 7), 0.1, 1e-6) << "the key has expired";
+  duration_of(9s, 8);
+  duration_of(10s, 9);
+  EXPECT_NEAR(duration_of(11s, 7), 0.1, 1e-6) << "evicted by two other keys";
 }
 
-TEST(LabDiscovery, WordComesLateAndAServiceOverItsCapacityAnswers503) {
+TEST(LabDiscovery, AnnouncesRemovalAfterTheDelayAndFailsCallsBeyondItsCapacity) {
   DiscoverySpec spec;
   spec.removal_delay_s = Range(2);
   spec.call_ms = 500;
@@ -203,148 +206,150 @@
   list.publish(10s, {1, EndpointState::removed, {}});
   EXPECT_TRUE(list.advance(11900ms).empty());
   EXPECT_EQ(list.advance(12100ms).size(), 1u);
-  bool whole = true;
-  EXPECT_EQ(list.changes_since(1, whole).size(), 1u);
-  EXPECT_FALSE(whole);
+  bool is_snapshot = true;
+  EXPECT_EQ(list.changes_since(1, is_snapshot).size(), 1u);
+  EXPECT_FALSE(is_snapshot);
   EXPECT_TRUE(list.call(20s, 1).ok);
   EXPECT_TRUE(list.call(20s, 1).ok);
-  const DiscoveryModel::Call third = list.call(20s, 1);  // would have to wait 1 s
+  const DiscoveryModel::Call third =
+      list.call(20s, 1);  // would wait 1 s, longer than its timeout of 0.9 s
   EXPECT_FALSE(third.ok);
   EXPECT_EQ(third.at, 20900ms);
 }
 
-// --- The referee
+// --- The invariant checker
 // ------------------------------------------------------------------------------------------
 
-// Passes everything on to the module, but for what a test makes it do wrong.
-class Broken : public BalancerPolicy {
+// Forwards all events to the balancer; derived classes change its actions to violate a rule.
+class FaultyPolicy : public BalancerPolicy {
  public:
   using BalancerPolicy::BalancerPolicy;
   std::vector<Action>& actions() override {
-    std::vector<Action>& out = BalancerPolicy::actions();
-    change(out);
-    return out;
+    std::vector<Action>& pending = BalancerPolicy::actions();
+    change(pending);
+    return pending;
   }
 
  protected:
   virtual void change(std::vector<Action>& actions) = 0;
 };
 
-// Sends a seal once more to another host, at the moment of its first sending.
-class RepeatsASeal : public Broken {
+// Sends a second attempt of a non-idempotent request (class seal) to another host at the same time.
+class DuplicatesNonIdempotentAttempt : public FaultyPolicy {
  public:
-  using Broken::Broken;
+  using FaultyPolicy::FaultyPolicy;
   void on_request(load_balancer::Time now, const load_balancer::Request& q) override {
     if (q.class_index == 2) {
-      seals_.insert(q.id);
+      unsent_seals_.insert(q.id);
     }
-    Broken::on_request(now, q);
+    FaultyPolicy::on_request(now, q);
   }
 
  protected:
   void change(std::vector<Action>& actions) override {
-    std::vector<Action> more;
+    std::vector<Action> duplicates;
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<SendAttempt>(&action)) {
-        if (seals_.erase(send->request) > 0 && last_ != load_balancer::kNone &&
-            last_ != send->host) {
-          SendAttempt again = *send;
-          again.host = last_;
-          again.attempt = send->attempt + 1;
-          more.emplace_back(again);
+        if (unsent_seals_.erase(send->request) > 0 && last_host_ != load_balancer::kNone &&
+            last_host_ != send->host) {
+          SendAttempt duplicate = *send;
+          duplicate.host = last_host_;
+          duplicate.attempt = send->attempt + 1;
+          duplicates.emplace_back(duplicate);
         }
-        last_ = send->host;
+        last_host_ = send->host;
       }
     }
-    actions.insert(actions.end(), more.begin(), more.end());
+    actions.insert(actions.end(), duplicates.begin(), duplicates.end());
   }
 
  private:
-  std::set<load_balancer::RequestId> seals_;
-  HostId last_ = load_balancer::kNone;
+  std::set<load_balancer::RequestId> unsent_seals_;
+  HostId last_host_ = load_balancer::kNone;
 };
 
-// Never hears that a host drains or is gone.
-class ForgetsADrain : public BalancerPolicy {
+// Sees every host as active, so that draining and removed hosts still receive attempts.
+class IgnoresDraining : public BalancerPolicy {
  public:
   using BalancerPolicy::BalancerPolicy;
   void on_endpoint_update(load_balancer::Time now, load_balancer::EndpointUpdateKind kind,
                           const std::vector<load_balancer::Endpoint>& entries) override {
-    std::vector<load_balancer::Endpoint> kept = entries;
-    for (auto& e : kept) {
+    std::vector<load_balancer::Endpoint> changed = entries;
+    for (auto& e : changed) {
       e.state = EndpointState::active;
     }
-    BalancerPolicy::on_endpoint_update(now, kind, kept);
+    BalancerPolicy::on_endpoint_update(now, kind, changed);
   }
 };
 
-// Takes every host for warm.
-class FloodsAColdHost : public BalancerPolicy {
+// Sees no start time, so that every host counts as warm and cold hosts get too much work.
+class IgnoresWarmUp : public BalancerPolicy {
  public:
   using BalancerPolicy::BalancerPolicy;
   void on_endpoint_update(load_balancer::Time now, load_balancer::EndpointUpdateKind kind,
                           const std::vector<load_balancer::Endpoint>& entries) override {
-    std::vector<load_balancer::Endpoint> kept = entries;
-    for (auto& e : kept) {
+    std::vector<load_balancer::Endpoint> changed = entries;
+    for (auto& e : changed) {
       e.started_at = {};
     }
-    BalancerPolicy::on_endpoint_update(now, kind, kept);
+    BalancerPolicy::on_endpoint_update(now, kind, changed);
   }
 };
 
-class AnswersTwice : public Broken {
+// Rejects each rejected request a second time.
+class RejectsTwice : public FaultyPolicy {
  public:
-  using Broken::Broken;
+  using FaultyPolicy::FaultyPolicy;
 
  protected:
   void change(std::vector<Action>& actions) override {
-    std::vector<Action> twice;
+    std::vector<Action> doubled;
     for (const Action& action : actions) {
-      twice.push_back(action);
+      doubled.push_back(action);
       if (std::holds_alternative<RejectRequest>(action)) {
-        twice.push_back(action);
+        doubled.push_back(action);
       }
     }
-    actions = twice;
+    actions = doubled;
   }
 };
 
-// Sits on each refusal for a second.
-class HoldsARefusalBack : public Broken {
+// Delays each rejection by 800 ms.
+class DelaysRejections : public FaultyPolicy {
  public:
-  using Broken::Broken;
+  using FaultyPolicy::FaultyPolicy;
   void on_wakeup(load_balancer::Time now) override {
     now_ = now;
-    Broken::on_wakeup(now);
+    FaultyPolicy::on_wakeup(now);
   }
   void on_request(load_balancer::Time now, const load_balancer::Request& q) override {
     now_ = now;
-    Broken::on_request(now, q);
+    FaultyPolicy::on_request(now, q);
   }
 
  protected:
   void change(std::vector<Action>& actions) override {
-    std::vector<Action> kept;
+    std::vector<Action> released;
     for (const Action& action : actions) {
       if (std::holds_alternative<RejectRequest>(action)) {
-        held_.emplace_back(now_ + 800ms, action);
+        delayed_.emplace_back(now_ + 800ms, action);
       } else {
-        kept.push_back(action);
+        released.push_back(action);
       }
     }
-    while (!held_.empty() && held_.front().first <= now_) {
-      kept.push_back(held_.front().second);
-      held_.pop_front();
+    while (!delayed_.empty() && delayed_.front().first <= now_) {
+      released.push_back(delayed_.front().second);
+      delayed_.pop_front();
     }
-    actions = kept;
+    actions = released;
   }
 
  private:
   load_balancer::Time now_{};
-  std::deque<std::pair<load_balancer::Time, Action>> held_;
+  std::deque<std::pair<load_balancer::Time, Action>> delayed_;
 };
 
-// Loses one request in a hundred: its actions never come out.
+// Drops every hundredth request: the balancer never sees it, so that no final response is sent.
 class LosesRequests : public BalancerPolicy {
  public:
   using BalancerPolicy::BalancerPolicy;
@@ -358,10 +363,11 @@
   unsigned count_ = 0;
 };
 
-// Refuses a seal that timed out at a host, as if nothing could have come of it.
-class RefusesWithoutProof : public Broken {
+// Turns each failure into a rejection, which claims that the request was never executed, although
+// an attempt that timed out may have been.
+class RejectsWithoutProof : public FaultyPolicy {
  public:
-  using Broken::Broken;
+  using FaultyPolicy::FaultyPolicy;
 
  protected:
   void change(std::vector<Action>& actions) override {
@@ -380,8 +386,8 @@
   };
 }
 
-std::uint64_t breaches(const DayResult& day, Rule rule) {
-  return day.breaches[static_cast<std::size_t>(rule)];
+std::uint64_t violation_count(const RunResult& run, Rule rule) {
+  return run.violations[static_cast<std::size_t>(rule)];
 }
 
 constexpr const char* kDrain =
@@ -393,41 +399,44 @@
         {"kind": "reset", "at_s": 1, "length_s": 10,
         "part": 0.5, "size": 0.2}])";
 
-TEST(LabReferee, CatchesEachBrokenPolicyByNameAndNotTheModule) {
+// A checker that misses a violation would let a broken balancer pass every simulated run; a checker
+// that reports the correct balancer would make every run useless.
+TEST(LabInvariantChecker, ReportsTheRuleThatEachFaultyPolicyBreaksAndNoneForTheBalancer) {
   const struct {
     Rule rule;
-    PolicyMaker broken;
-    Scenario day;
-    std::set<Rule> also = {};  // may come of it too
+    PolicyMaker faulty_policy;
+    Scenario scenario;
+    std::set<Rule> allowed = {};  // other rules that the fault may violate
   } cases[] = {
-      {Rule::double_effect, maker<RepeatsASeal>(), small_day()},
-      {Rule::sent_after_drain, maker<ForgetsADrain>(), small_day(kDrain)},
-      {Rule::cold_pushed, maker<FloodsAColdHost>(), small_day(kRestart, "1.2")},
-      {Rule::answered_twice, maker<AnswersTwice>(), small_day(kSlow)},
-      {Rule::held_back, maker<HoldsARefusalBack>(), small_day(kSlow), {Rule::lost}},
-      {Rule::lost, maker<LosesRequests>(), small_day()},
-      {Rule::unproven_refusal, maker<RefusesWithoutProof>(), small_day(kSlow)},
+      {Rule::double_effect, maker<DuplicatesNonIdempotentAttempt>(), small_scenario()},
+      {Rule::sent_after_drain, maker<IgnoresDraining>(), small_scenario(kDrain)},
+      {Rule::cold_host_overloaded, maker<IgnoresWarmUp>(), small_scenario(kRestart, "1.2")},
+      {Rule::answered_twice, maker<RejectsTwice>(), small_scenario(kSlow)},
+      {Rule::rejection_delayed, maker<DelaysRejections>(), small_scenario(kSlow), {Rule::lost}},
+      {Rule::lost, maker<LosesRequests>(), small_scenario()},
+      {Rule::unproven_rejection, maker<RejectsWithoutProof>(), small_scenario(kSlow)},
   };
   for (const auto& c : cases) {
     SCOPED_TRACE(std::string(name_of(c.rule)));
-    const DayResult broken = simulate_run(c.day, 1, c.broken);
-    EXPECT_GT(breaches(broken, c.rule), 0u);
+    const RunResult faulty = simulate_run(c.scenario, 1, c.faulty_policy);
+    EXPECT_GT(violation_count(faulty, c.rule), 0u);
     for (std::size_t i = 0; i < kRules; ++i) {
-      if (static_cast<Rule>(i) != c.rule && c.also.count(static_cast<Rule>(i)) == 0) {
-        EXPECT_EQ(broken.breaches[i], 0u) << "also: " << name_of(static_cast<Rule>(i));
+      if (static_cast<Rule>(i) != c.rule && c.allowed.count(static_cast<Rule>(i)) == 0) {
+        EXPECT_EQ(faulty.violations[i], 0u)
+            << "unexpected violations of: " << name_of(static_cast<Rule>(i));
       }
     }
-    const DayResult good = simulate_run(c.day, 1, make_balancer);
-    for (const Breach& b : good.first_breaches) {
-      ADD_FAILURE() << name_of(b.rule) << ": " << b.what;
+    const RunResult correct = simulate_run(c.scenario, 1, make_balancer);
+    for (const Violation& violation : correct.first_violations) {
+      ADD_FAILURE() << name_of(violation.rule) << ": " << violation.what;
     }
   }
 }
 
-// --- Days
+// --- Runs
 // -------------------------------------------------------------------------------------------------
 
-constexpr const char* kEverything = R"([
+constexpr const char* kAllFaults = R"([
   {"kind": "slow", "at_s": 1, "length_s": 4, "part": 0.3, "size": 5},
   {"kind": "fast_errors", "at_s": 2, "length_s": 4, "part": 0.3, "size": 0.8},
   {"kind": "neighbour", "at_s": 1, "length_s": 6, "part": 0.5, "size": 0.5, "extra": 1},
@@ -444,40 +453,42 @@
   {"kind": "spoilt", "at_s": 1, "length_s": 9, "part": 0.5, "size": 0.1},
   {"kind": "slow_peers", "at_s": 2, "length_s": 3, "part": 0.3, "extra": 0.2}])";
 
-std::string bytes_of(const std::vector<DayResult>& days) {
+std::string json_of(const std::vector<RunResult>& runs) {
   std::string out;
-  for (const DayResult& d : days) {
-    out += to_json(d, true).dump();
+  for (const RunResult& run : runs) {
+    out += to_json(run, true).dump();
   }
   return out;
 }
 
-TEST(LabDay, WithEveryTroubleAtOnceItRepeatsByteForByteForAnyNumberOfJobs) {
-  const Scenario day = small_day(kEverything);
-  const std::string one = bytes_of(simulate_runs(day, 1, 4, 1, make_balancer));
-  EXPECT_EQ(one, bytes_of(simulate_runs(day, 1, 4, 4, make_balancer)));
-  EXPECT_NE(one, bytes_of(simulate_runs(day, 2, 4, 4, make_balancer)))
-      << "the seed changes nothing";
+// A result that depends on thread timing or on other hidden state could not be reproduced from its
+// seed.
+TEST(LabRun, RepeatsByteForByteForAnyNumberOfJobsWithAllFaultsAtOnce) {
+  const Scenario scenario = small_scenario(kAllFaults);
+  const std::string expected = json_of(simulate_runs(scenario, 1, 4, 1, make_balancer));
+  EXPECT_EQ(expected, json_of(simulate_runs(scenario, 1, 4, 4, make_balancer)));
+  EXPECT_NE(expected, json_of(simulate_runs(scenario, 2, 4, 4, make_balancer)))
+      << "another seed gave the same results";
 }
 
-TEST(LabDay, EveryWishEndsOnce) {
-  for (const DayResult& day : simulate_runs(small_day(kEverything), 1, 4, 4, make_balancer)) {
-    for (const ClassTally& c : day.tally.classes) {
-      std::uint64_t ends = 0;
-      for (std::uint64_t n : c.fates) {
-        ends += n;
+TEST(LabRun, EveryOperationEndsOnceWithAllFaultsAtOnce) {
+  for (const RunResult& run : simulate_runs(small_scenario(kAllFaults), 1, 4, 4, make_balancer)) {
+    for (const ClassTally& c : run.metrics.classes) {
+      std::uint64_t ended = 0;
+      for (std::uint64_t n : c.results) {
+        ended += n;
       }
-      EXPECT_EQ(ends, c.wishes) << c.name;
-      EXPECT_GT(c.fates[static_cast<std::size_t>(RequestResult::in_time)], 0u) << c.name;
+      EXPECT_EQ(ended, c.operations) << c.name;
+      EXPECT_GT(c.results[static_cast<std::size_t>(RequestResult::in_time)], 0u) << c.name;
     }
   }
 }
 
-TEST(LabDay, TheModuleKeepsTheRulesWithEveryTroubleAtOnce) {
-  for (const DayResult& day : simulate_runs(small_day(kEverything), 1, 8, 4, make_balancer)) {
-    for (const Breach& b : day.first_breaches) {
-      ADD_FAILURE() << "seed " << day.seed << " at " << to_seconds(b.at)
-                    << " s: " << name_of(b.rule) << ": " << b.what;
+TEST(LabRun, BalancerViolatesNoRuleWithAllFaultsAtOnce) {
+  for (const RunResult& run : simulate_runs(small_scenario(kAllFaults), 1, 8, 4, make_balancer)) {
+    for (const Violation& violation : run.first_violations) {
+      ADD_FAILURE() << "seed " << run.seed << " at " << to_seconds(violation.at)
+                    << " s: " << name_of(violation.rule) << ": " << violation.what;
     }
   }
 }
@@ -485,7 +496,7 @@
 // --- Scenarios and experiments
 // ----------------------------------------------------------------------------
 
-TEST(LabScenario, EachMistakeIsOneLineThatNamesTheField) {
+TEST(LabScenario, EachErrorNamesItsFieldInOneLine) {
   const struct {
     const char *text, *where, *what;
   } cases[] = {
@@ -516,7 +527,7 @@
   }
 }
 
-TEST(LabExperiment, ADifferenceIsToldFromNoise) {
+TEST(LabExperiment, ReportsADifferenceOnlyWhenItExceedsNoise) {
   std::vector<double> a;
   std::vector<double> noisy;
   std::vector<double> better;
@@ -533,12 +544,12 @@
   EXPECT_GT(d.high, 0.05);
 }
 
-TEST(LabExperiment, APolicyThatThrowsEndsTheRun) {
-  const PolicyMaker throws = [](const load_balancer::Settings&,
-                                load_balancer::Time) -> std::unique_ptr<Policy> {
+TEST(LabExperiment, RethrowsTheExceptionOfAPolicy) {
+  const PolicyMaker throwing_policy = [](const load_balancer::Settings&,
+                                         load_balancer::Time) -> std::unique_ptr<Policy> {
     throw std::runtime_error("broken");
   };
-  EXPECT_THROW(simulate_runs(small_day(), 1, 8, 4, throws), std::runtime_error);
+  EXPECT_THROW(simulate_runs(small_scenario(), 1, 8, 4, throwing_policy), std::runtime_error);
 }
 
 }  // namespace
--- a/tests/lab/load_test.cpp
+++ b/tests/lab/load_test.cpp
@@ -1,4 +1,5 @@
-// The load tool: its schedule, and that a server which stalls can't hide it.
+// The load tool: schedules, trace files, and latency measured from the time when a request is due,
+// so that a stalled server cannot hide the stall by delaying the requests behind it.
 #include "lab/load/load.hpp"
 
 #include <gtest/gtest.h>
@@ -17,7 +18,7 @@
 using boost::asio::ip::tcp;
 namespace asio = boost::asio;
 
-std::vector<DueRequest> all(Schedule& schedule) {
+std::vector<DueRequest> all_requests(Schedule& schedule) {
   std::vector<DueRequest> out;
   for (DueRequest r; schedule.next(r);) {
     out.push_back(r);
@@ -25,7 +26,7 @@
   return out;
 }
 
-std::string mistake_of(const std::string& trace) {
+std::string error_of(const std::string& trace) {
   const std::string file = testing::TempDir() + "load_test.tsv";
   std::ofstream(file) << trace;
   try {
@@ -36,15 +37,15 @@
   return "";
 }
 
-// Answers one connection's requests in turn, each after what `before` does, until the other side
-// closes.
+// Serves connections one after the other; `response` gives the text sent for each request by its
+// number, and closes the connection by an empty text.
 class Server {
  public:
-  explicit Server(std::function<std::string(int number)> answer)
+  explicit Server(std::function<std::string(int number)> response)
       : acceptor_(io_, {asio::ip::address_v4::loopback(), 0}) {
     to = acceptor_.local_endpoint();
-    thread_ = std::thread([this, answer = std::move(answer)] {
-      for (int number = 0; !over_;) {
+    thread_ = std::thread([this, response = std::move(response)] {
+      for (int number = 0; !stopping_;) {
         boost::system::error_code ec;
         tcp::socket socket(io_);
         acceptor_.accept(socket, ec);
@@ -56,7 +57,7 @@
             break;
           }
           head.erase(0, n);
-          const std::string text = answer(number++);
+          const std::string text = response(number++);
           if (text.empty()) {
             break;
           }
@@ -66,9 +67,9 @@
     });
   }
   ~Server() {
-    over_ = true;
+    stopping_ = true;
     boost::system::error_code ignored;
-    tcp::socket(io_).connect(to, ignored);  // wakes the accept
+    tcp::socket(io_).connect(to, ignored);  // wakes the blocking accept
     thread_.join();
   }
   tcp::endpoint to;
@@ -76,15 +77,15 @@
  private:
   asio::io_context io_;
   tcp::acceptor acceptor_;
-  std::atomic<bool> over_{false};
+  std::atomic<bool> stopping_{false};
   std::thread thread_;
 };
 
 const std::string kServed = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 
-TEST(Schedule, EvenStagesKeepTheirRatesAcrossSteps) {
+TEST(Schedule, EvenStagesKeepTheirRates) {
   const auto schedule = staged(read_stages("100x1,0x2,1000x0.5"), {{}, "seal", 5, 0}, false, 1);
-  const auto due = all(*schedule);
+  const auto due = all_requests(*schedule);
   ASSERT_NEAR(static_cast<double>(due.size()), 600, 1);
   EXPECT_EQ(due[0].at, Duration{});
   EXPECT_NEAR(to_seconds(due[50].at), 0.5, 1e-6);
@@ -93,9 +94,9 @@
   EXPECT_EQ(due.back().cls, "seal");
 }
 
-TEST(Schedule, RandomTimesHaveTheRateAndRepeatWithTheSeed) {
-  const auto a = all(*staged({{1000, 10}}, {}, true, 7));
-  const auto b = all(*staged({{1000, 10}}, {}, true, 7));
+TEST(Schedule, PoissonTimesHaveTheRateAndRepeatWithTheSeed) {
+  const auto a = all_requests(*staged({{1000, 10}}, {}, true, 7));
+  const auto b = all_requests(*staged({{1000, 10}}, {}, true, 7));
   ASSERT_EQ(a.size(), b.size());
   for (std::size_t i = 0; i < a.size(); ++i) {
     ASSERT_EQ(a[i].at, b[i].at);
@@ -103,7 +104,7 @@
   EXPECT_NEAR(static_cast<double>(a.size()), 10000, 400);  // four standard deviations
 }
 
-TEST(Schedule, ATraceComesBackAsItWasWritten) {
+TEST(Schedule, TraceIsReadBackAsWritten) {
   const std::string file = testing::TempDir() + "load_test_whole.tsv";
   {
     std::ofstream out(file);
@@ -113,7 +114,7 @@
   }
   const auto schedule = replayed(file);
   EXPECT_EQ(schedule->length(), std::chrono::milliseconds(2500));
-  const auto due = all(*schedule);
+  const auto due = all_requests(*schedule);
   ASSERT_EQ(due.size(), 2u);
   EXPECT_EQ(due[0].at, std::chrono::milliseconds(1500));
   EXPECT_EQ(due[0].cls, "consent");
@@ -121,24 +122,25 @@
   EXPECT_EQ(due[0].key, 0xabcu);
 }
 
-TEST(Schedule, EachMistakeOfATraceIsNamedWithItsLine) {
-  EXPECT_EQ(mistake_of("1\tseal\t5\t0\n1.5 seal 5 0\n"),
+TEST(Schedule, EachErrorOfATraceNamesItsLine) {
+  EXPECT_EQ(error_of("1\tseal\t5\t0\n1.5 seal 5 0\n"),
             "load_test.tsv:2: should be seconds, class, work in us and key, set apart by tabs");
-  EXPECT_EQ(mistake_of("soon\tseal\t5\t0\n"),
+  EXPECT_EQ(error_of("soon\tseal\t5\t0\n"),
             "load_test.tsv:1: 'soon' should be seconds from 0 to 86400");
-  EXPECT_EQ(mistake_of("2\tseal\t5\t0\n1\tseal\t5\t0\n2\tseal\t-1\t0\n"),
+  EXPECT_EQ(error_of("2\tseal\t5\t0\n1\tseal\t5\t0\n2\tseal\t-1\t0\n"),
             "load_test.tsv:2: is earlier than the line before; order the lines by time\n" +
                 testing::TempDir() +
                 "load_test.tsv:3: '-1' should be microseconds of work from 0 to 1e9");
-  EXPECT_EQ(mistake_of("# nothing\n"), "load_test.tsv: holds no request");
+  EXPECT_EQ(error_of("# nothing\n"), "load_test.tsv: holds no request");
   EXPECT_THROW(read_stages("1000x"), std::invalid_argument);
   EXPECT_THROW(read_stages("1000x5,,2x1"), std::invalid_argument);
 }
 
-TEST(Load, AStallShowsInTheLatencyFromDue) {
+TEST(Load, ServerStallRaisesTheLatencyFromDue) {
   Server server([](int number) {
     if (number == 0) {
-      std::this_thread::sleep_for(std::chrono::milliseconds(400));  // the failure: a stall
+      std::this_thread::sleep_for(
+          std::chrono::milliseconds(400));  // stalls all requests due meanwhile
     }
     return kServed;
   });
@@ -152,19 +154,19 @@
   EXPECT_EQ(r.counts.connected, 1u);
   EXPECT_GE(r.counts.waited, 18u);
   EXPECT_GE(percentile(r.from_due, 0.1), 250);   // 19 of the 20 were due 5 to 95 ms into the stall
-  EXPECT_LT(percentile(r.from_sent, 0.5), 100);  // measured from the sending it would be hidden
+  EXPECT_LT(percentile(r.from_sent, 0.5), 100);  // latency from sending hides the stall
 }
 
-TEST(Load, EveryRequestEndsOnceByNameAlsoWhenTheServerBreaksOff) {
-  const std::vector<std::string> answers{
+TEST(Load, CountsEachRequestOnceByResultWhenTheServerClosesConnections) {
+  const std::vector<std::string> responses{
       kServed,
       "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
       "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n",
-      "" /* closes without an answer */,
+      "" /* closes without a response */,
       "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n",
       "HTTP/1.1 2x0 spoilt\r\n\r\n"};
   Server server(
-      [&](int number) { return answers[static_cast<std::size_t>(number) % answers.size()]; });
+      [&](int number) { return responses[static_cast<std::size_t>(number) % responses.size()]; });
   LoadOptions options;
   options.to = {server.to};
   options.connections = 1;
@@ -178,20 +180,20 @@
   EXPECT_EQ(c.unanswered, 0u);
 }
 
-TEST(Load, SaysWhenItsOwnScheduleWasNotKept) {
-  struct Past : Schedule {
-    int left = 100;
+TEST(Load, ReportsThatItsScheduleWasNotKept) {
+  struct OverdueSchedule : Schedule {
+    int remaining = 100;
     bool next(DueRequest& into) override {
       into = {-std::chrono::milliseconds(50), "status", 0, 0};
-      return left-- > 0;
+      return remaining-- > 0;
     }
     Duration length() const override { return {}; }
-  } past;
+  } overdue;
   Server server([](int) { return kServed; });
   LoadOptions options;
   options.to = {server.to};
   options.connections = 1;
-  const LoadResult r = send_load(past, options);
+  const LoadResult r = send_load(overdue, options);
   EXPECT_EQ(r.counts.late, 100u);
   EXPECT_FALSE(r.kept_schedule());
   EXPECT_GE(r.worst_late, std::chrono::milliseconds(50));
